--- a/src/domain/billBook.ts
+++ b/src/domain/billBook.ts
@@ -1,11 +1,11 @@
 /**
  * Bills, merged from usage records. A request is billed the largest consumption of any one of its runs: a run that
- * continues another counts the other's tokens as its own prompt, so the last run's figure is the whole request's.
- * Merging takes the greater value, so the order and number of copies do not matter.
+ * continues another counts that run's tokens as part of its prompt, so the last run's consumption covers the whole request.
+ * Merging takes the maximum, so it is commutative and idempotent.
  */
 import * as z from "zod";
 
-/** What one run consumed, as its sidecar (or the router that relayed it) tells the grant's ledger. Tokens. */
+/** Token consumption of one run, reported to the grant's ledger by its sidecar or by the router that relayed it. */
 export const usageRecord = z.object({
     requestId: z.string().max(300),
     runId: z.string().max(320),
@@ -15,20 +15,20 @@
     grant: z.string(),
     promptTokens: z.int().min(0),
     outputTokens: z.int().min(0),
-    /** Whether another run of the request may exist that this one's router could not know of. */
+    /** Whether the request may have another run that this run's router does not know of. */
     uncertain: z.boolean(),
-    /** Wall clock at the run's end, in milliseconds since 1970, for reports. */
+    /** Wall-clock time at which the run ended, in milliseconds since the Unix epoch; used in reports. */
     at: z.number(),
 });
 export type UsageRecord = z.infer<typeof usageRecord>;
 
-/** What of a run its usage record repeats. */
+/** Fields that a usage record copies from its run. */
 export type UsageSource = Pick<
     UsageRecord,
     "requestId" | "runId" | "account" | "service" | "budget" | "grant" | "uncertain"
 >;
 
-/** The usage record of a run that consumed this much. `at`: wall clock, milliseconds since 1970. */
+/** `at`: wall-clock time in milliseconds since the Unix epoch. */
 export function createUsageRecord(
     run: UsageSource,
     consumed: { promptTokens: number; outputTokens: number; },
@@ -38,22 +38,22 @@
     return { requestId, runId, account, service, budget, grant, ...consumed, uncertain, at };
 }
 
-/** One request's bill in one ledger. */
+/** The bill of one request in one ledger. */
 export interface BillRecord {
     readonly requestId: string;
     readonly account: string;
     readonly service: string;
     readonly budget: string;
     readonly at: number;
-    /** Tokens billed: the greatest consumption of a single run. */
+    /** Tokens billed: the largest consumption of a single run. */
     tokens: number;
-    /** Tokens consumed by each run. */
+    /** Tokens consumed, by run id. */
     readonly runs: Record<string, number>;
     uncertain: boolean;
     withdrawn: boolean;
 }
 
-/** What a usage record changes: tokens newly consumed, and tokens newly billed. */
+/** Tokens that a usage record adds to the consumption and to the bill. */
 export interface UsageEffect {
     readonly consumed: number;
     readonly billed: number;
@@ -67,7 +67,7 @@
         return this.bills.get(requestId);
     }
 
-    /** The budget a known request is billed to. */
+    /** Returns the budget of an existing bill. */
     getBudget(requestId: string): string {
         return this.bills.get(requestId)!.budget;
     }
@@ -80,24 +80,24 @@
         return [...this.bills.values()].filter(bill => bill.uncertain && !bill.withdrawn);
     }
 
-    /** Whether a record tells anything that is not known yet. */
-    isNews(usage: UsageRecord): boolean {
+    /** Whether the record is of an unknown run or raises the run's consumption. */
+    addsUsage(usage: UsageRecord): boolean {
         const known = this.bills.get(usage.requestId)?.runs[usage.runId];
-        return known === undefined || getConsumed(usage) > known;
+        return known === undefined || getConsumedTokens(usage) > known;
     }
 
     applyUsage(usage: UsageRecord): UsageEffect {
         const bill = this.getOrCreate(usage);
-        const before = bill.runs[usage.runId] ?? 0;
-        const now = Math.max(before, getConsumed(usage));
-        bill.runs[usage.runId] = now;
-        const billedBefore = bill.tokens;
-        bill.tokens = Math.max(billedBefore, now);
-        const billed = bill.withdrawn ? 0 : bill.tokens - billedBefore;
-        return { consumed: now - before, billed };
+        const previousTokens = bill.runs[usage.runId] ?? 0;
+        const runTokens = Math.max(previousTokens, getConsumedTokens(usage));
+        bill.runs[usage.runId] = runTokens;
+        const previouslyBilled = bill.tokens;
+        bill.tokens = Math.max(previouslyBilled, runTokens);
+        const billed = bill.withdrawn ? 0 : bill.tokens - previouslyBilled;
+        return { consumed: runTokens - previousTokens, billed };
     }
 
-    /** Marks a bill as withdrawn; answers the tokens it no longer bills. */
+    /** Marks a bill as withdrawn and returns the tokens that it billed. */
     applyWithdrawal(requestId: string): number {
         const bill = this.bills.get(requestId);
         if (bill === undefined || bill.withdrawn) {
@@ -156,7 +156,6 @@
     }
 }
 
-/** Tokens a run consumed in all. */
-export function getConsumed(usage: UsageRecord): number {
+export function getConsumedTokens(usage: UsageRecord): number {
     return usage.promptTokens + usage.outputTokens;
 }
--- a/src/domain/ledger.ts
+++ b/src/domain/ledger.ts
@@ -1,8 +1,8 @@
 /**
- * The ledger of one controller's incarnation: what its shares are spent on. Every change is a synced journal record
- * before anybody is told of it.
+ * The ledger of one controller incarnation: accounts for the tokens of the shares allotted to it. Every change is synced
+ * to the journal before it is acknowledged.
  *
- * Conservation, for each budget: allotted - returned = free + open grants + spent + unaccounted.
+ * Invariant for each budget: allotted - returned = free + open grants + spent + unaccounted.
  */
 import type { Journal } from "../ports/journal.js";
 import { BillBook, type BillRecord, type UsageRecord } from "./billBook.js";
@@ -11,7 +11,7 @@
 import type { BudgetSpec } from "./objects.js";
 import { assertInvariant, createRefusal, type Refusal } from "./resultCodes.js";
 
-/** A grant: tokens that one router may reserve from. Totals only grow. */
+/** Tokens that one router may reserve from. All totals are monotonic. */
 export interface LedgerGrant {
     readonly id: string;
     readonly budget: string;
@@ -19,13 +19,13 @@
     grantedTotal: number;
     returnedTotal: number;
     consumedTotal: number;
-    /** Sequence of the last draw, so that a resend is answered and not repeated. */
+    /** Sequence number of the last draw; makes draws idempotent. */
     drawSequence: number;
-    /** Position in the journal's order at which it was opened. */
+    /** Number of the journal event that opened the grant. */
     readonly openedAt: number;
 }
 
-/** What one budget looks like in this ledger. All in tokens. */
+/** The balance of one budget in this ledger, in tokens. */
 export interface LedgerBalance {
     readonly allotted: number;
     readonly returned: number;
@@ -42,59 +42,58 @@
     open: number;
 }
 
-/** A top-up stored by its home. */
+/** A top-up stored by its home ledger. */
 export interface StoredTopUp {
     readonly operationId: string;
     readonly operator: string;
     readonly budget: string;
     readonly tokens: number;
-    /** Copies it needs, as its budget said when it was stored. */
+    /** Replication required by the budget's spec when the top-up was stored. */
     readonly copies: BudgetSpec["topUpCopies"];
-    /** Whether enough copies lie in its zone to spend it before the log holds it. */
+    /** Whether the zone holds enough copies to spend the top-up before it is committed to the log. */
     spendable: boolean;
 }
 
-/** Result of raising a grant. */
 export type DrawResult =
     | { readonly type: "granted"; readonly grantedTotal: number; }
     | { readonly type: "refused"; readonly refusal: Refusal; };
 
-/** Tells what the replicated log has handed to this ledger. */
+/** What the applied part of the replicated log has allotted to a ledger. */
 export abstract class ShareSource {
-    /** Tokens allotted to this ledger so far, in total. */
+    /** Cumulative tokens allotted to this ledger. */
     abstract getAllotted(budget: string): number;
-    /** Whether the log holds the top-up already, so that `getAllotted` counts it. */
+    /** Whether the log contains the top-up, in which case `getAllotted` includes it. */
     abstract hasTopUp(operationId: string): boolean;
 }
 
-/** The ledger. Methods that return a promise resolve once their record is synced. */
+/** Methods that return a promise resolve once their journal record is synced. */
 export class Ledger {
     private readonly totals = new Map<string, BudgetTotals>();
     private readonly grants = new Map<string, LedgerGrant>();
-    private readonly voidGrants = new Set<string>();
+    private readonly closedGrantIds = new Set<string>();
     private readonly topUps = new Map<string, StoredTopUp>();
     private readonly sidecarsSeen = new Map<string, { incarnation: string; at: number; }>();
     private readonly bills = new BillBook();
     private eventCount = 0;
-    /** The newest record's way to the disk; it follows all earlier ones. */
+    /** Resolves when the newest record is synced. Appends are ordered, so all earlier records are synced as well. */
     private lastWrite: Promise<void> = Promise.resolve();
-    /** Tokens recorded beyond what was granted. Stays 0 unless the program is wrong. */
+    /** Tokens consumed in excess of grants. Any value other than 0 indicates a bug. */
     overspent = 0;
-    /** Tokens billed here that came out of sealed shares. */
+    /** Tokens billed here but consumed under grants of sealed incarnations. */
     sealedSpent = 0;
 
     constructor(
         readonly id: string,
         private readonly journal: Journal,
-        private readonly source: ShareSource,
+        private readonly shareSource: ShareSource,
         events: readonly LedgerEvent[] = [],
     ) {
         events.forEach(event => this.applyEvent(event));
     }
 
     getBalance(budget: string): LedgerBalance {
-        const totals = this.getTotals(budget);
-        const allotted = this.source.getAllotted(budget) + this.getLocalCredit(budget);
+        const totals = this.getOrCreateTotals(budget);
+        const allotted = this.shareSource.getAllotted(budget) + this.computeUnreplicatedCredit(budget);
         return {
             allotted,
             returned: totals.returned,
@@ -105,7 +104,7 @@
         };
     }
 
-    /** Every budget that this ledger has ever handled. */
+    /** Names of all budgets with totals or top-ups in this ledger. */
     getBudgets(): string[] {
         const names = new Set(this.totals.keys());
         this.topUps.forEach(topUp => names.add(topUp.budget));
@@ -120,81 +119,83 @@
         return this.grants.get(id);
     }
 
-    /** Tokens of a grant that are neither consumed nor given back. */
+    /** Tokens of a grant that are neither consumed nor returned. */
     static getOpenTokens(grant: LedgerGrant): number {
         return grant.grantedTotal - grant.returnedTotal - grant.consumedTotal;
     }
 
     /**
-     * Raises a grant by `want` tokens, or by as much as is free but at least `need`; opens it where it is new.
-     * A repeated `sequence` gets the same answer and nothing more.
+     * Raises a grant by up to `wantedTokens`, limited by the free tokens; refuses if fewer than `minTokens` are free.
+     * Opens the grant if it does not exist. Idempotent: a repeated `sequence` returns the current total.
      */
     async draw(
         grantId: string,
         router: string,
         budget: string,
         sequence: number,
-        need: number,
-        want: number,
+        minTokens: number,
+        wantedTokens: number,
     ): Promise<DrawResult> {
         const known = this.grants.get(grantId);
         if (known !== undefined && sequence <= known.drawSequence) {
-            await this.waitSynced();
+            await this.waitForLastWrite();
             return { type: "granted", grantedTotal: known.grantedTotal };
         }
-        if (this.voidGrants.has(grantId)) {
+        if (this.closedGrantIds.has(grantId)) {
             return { type: "refused", refusal: createRefusal("grantClosed", grantId) };
         }
         const free = this.getBalance(budget).free;
-        if (free < need) {
-            return { type: "refused", refusal: createRefusal("budgetExhausted", `${free} of ${need} tokens free`) };
+        if (free < minTokens) {
+            return {
+                type: "refused",
+                refusal: createRefusal("budgetExhausted", `${free} of ${minTokens} tokens free`),
+            };
         }
-        const tokens = Math.min(Math.max(need, want), free);
+        const tokens = Math.min(Math.max(minTokens, wantedTokens), free);
         const grantedTotal = (known?.grantedTotal ?? 0) + tokens;
         await this.record({ type: "grant", id: grantId, router, budget, sequence, grantedTotal });
         return { type: "granted", grantedTotal };
     }
 
-    /** Takes back what a router says it will not reserve from any more, as a total for the grant. */
+    /** Records the cumulative tokens that a router has returned from a grant. */
     async returnGrant(grantId: string, returnedTotal: number): Promise<void> {
         const grant = this.grants.get(grantId);
         if (grant === undefined) {
-            this.voidGrants.add(grantId);
+            this.closedGrantIds.add(grantId);
             return;
         }
         const bounded = Math.min(returnedTotal, grant.grantedTotal - grant.consumedTotal);
         if (bounded > grant.returnedTotal) {
             await this.record({ type: "return", id: grantId, returnedTotal: bounded });
         }
-        await this.waitSynced();
+        await this.waitForLastWrite();
     }
 
-    /** Records what a run consumed. Any number of copies, from either witness, is one bill. */
+    /** Records the consumption of a run. Duplicates, whether from the sidecar or the router, are billed once. */
     async recordUsage(usage: UsageRecord): Promise<void> {
-        if (this.bills.isNews(usage)) {
+        if (this.bills.addsUsage(usage)) {
             await this.record({ type: "usage", usage });
         }
-        await this.waitSynced();
+        await this.waitForLastWrite();
     }
 
-    /** Whether the ledger still holds a record of the request, and what it is billed. */
     tryGetBill(requestId: string): BillRecord | undefined {
         return this.bills.tryGet(requestId);
     }
 
-    /** The newest bills, newest last. */
+    /** Returns up to `limit` of the newest bills, newest last. */
     getBills(limit: number): BillRecord[] {
         return this.bills.getNewest(limit);
     }
 
-    /** Withdraws a bill, because another ledger bills the same request; the tokens are free again. */
+    /** Withdraws a bill because another ledger bills the same request; its tokens become free. */
     async withdrawBill(requestId: string, billedBy: string): Promise<void> {
         if (this.bills.tryGet(requestId)?.withdrawn === false) {
             await this.record({ type: "withdraw", requestId, billedBy });
         }
     }
 
-    /** Bills that may stand in another ledger too and have not been compared yet. */
+    /** Bills that another ledger may hold as well and that have not been reconciled yet. */
     getUncertainBills(): BillRecord[] {
         return this.bills.getUncertain();
     }
@@ -203,19 +204,26 @@
         await this.record({ type: "confirm", requestId });
     }
 
-    /** Gives free tokens back for good; they are unallocated once the log has the report. Answers how many. */
+    /**
+     * Permanently returns up to `tokens` free tokens, and resolves with the number returned. They become unallocated
+     * when the share report is committed.
+     */
     async giveBack(budget: string, tokens: number): Promise<number> {
-        const given = Math.min(tokens, this.getBalance(budget).free);
-        if (given <= 0) {
+        const returnedTokens = Math.min(tokens, this.getBalance(budget).free);
+        if (returnedTokens <= 0) {
             return 0;
         }
-        await this.record({ type: "giveBack", budget, returnedTotal: this.getTotals(budget).returned + given });
-        return given;
+        await this.record({
+            type: "giveBack",
+            budget,
+            returnedTotal: this.getOrCreateTotals(budget).returned + returnedTokens,
+        });
+        return returnedTokens;
     }
 
     /**
-     * Closes a grant nobody will use any more. `complete`: every sidecar that may have run under it has answered, so
-     * what is left is free; otherwise it is written off as unaccounted.
+     * Closes a grant that is no longer in use. `complete`: every sidecar that may have run requests under the grant has
+     * reported, so its open tokens become free; otherwise they are written off as unaccounted.
      */
     async closeGrant(grantId: string, complete: boolean): Promise<void> {
         if (this.grants.has(grantId)) {
@@ -223,7 +231,7 @@
         }
     }
 
-    /** Stores a top-up whose home this is. A resend changes nothing; another content under the same id is refused. */
+    /** Stores a top-up. Idempotent; refuses an operation id that was used with a different budget or amount. */
     async storeTopUp(topUp: StoredTopUp): Promise<Refusal | undefined> {
         const known = this.topUps.get(topUp.operationId);
         if (known === undefined) {
@@ -233,7 +241,7 @@
         if (known.budget !== topUp.budget || known.tokens !== topUp.tokens) {
             return createRefusal("operationReused", topUp.operationId);
         }
-        await this.waitSynced();
+        await this.waitForLastWrite();
         return undefined;
     }
 
@@ -241,41 +249,41 @@
         if (this.topUps.get(operationId)?.spendable === false) {
             await this.record({ type: "topUpSpendable", operationId });
         }
-        await this.waitSynced();
+        await this.waitForLastWrite();
     }
 
     tryGetTopUp(operationId: string): StoredTopUp | undefined {
         return this.topUps.get(operationId);
     }
 
-    /** Top-ups that the log does not hold yet. */
+    /** Top-ups that are not in the log yet. */
     getPendingTopUps(): StoredTopUp[] {
-        return [...this.topUps.values()].filter(topUp => !this.source.hasTopUp(topUp.operationId));
+        return [...this.topUps.values()].filter(topUp => !this.shareSource.hasTopUp(topUp.operationId));
     }
 
-    /** Notes a sidecar's incarnation; only grants opened later can be closed on its word. */
+    /** Records a sidecar's incarnation. Its reports are conclusive only for grants opened after this record. */
     async recordSidecar(box: string, incarnation: string): Promise<void> {
         if (this.sidecarsSeen.get(box)?.incarnation !== incarnation) {
             await this.record({ type: "sidecarSeen", box, incarnation });
         }
     }
 
-    /** Whether a sidecar's answer covers the grant's whole life. */
+    /** Whether the sidecar incarnation was recorded before the grant was opened, so that its report covers all runs. */
     isWitnessOf(grant: LedgerGrant, box: string, incarnation: string): boolean {
         const seen = this.sidecarsSeen.get(box);
         return seen !== undefined && seen.incarnation === incarnation && seen.at < grant.openedAt;
     }
 
-    /** Frees tokens that were written off, on an operator's word. */
+    /** Makes up to `tokens` unaccounted tokens free again at an operator's request, and resolves with the number. */
     async releaseUnaccounted(budget: string, tokens: number): Promise<number> {
-        const released = Math.min(tokens, this.getTotals(budget).unaccounted);
+        const released = Math.min(tokens, this.getOrCreateTotals(budget).unaccounted);
         if (released > 0) {
             await this.record({ type: "release", budget, tokens: released });
         }
         return released;
     }
 
-    /** Rewrites the journal as the shortest list of events that leads to the present state. */
+    /** Replaces the journal's records with a snapshot of the current state. */
     async compact(): Promise<void> {
         await this.journal.replaceAll(this.createSnapshotEvents());
     }
@@ -284,20 +292,20 @@
         return this.journal.getSize();
     }
 
-    /** Drops bills that are older than anybody may resend. */
+    /** Removes bills that are too old for their requests to be resent. */
     removeOldBills(before: number): void {
         this.bills.removeOlderThan(before);
     }
 
-    /** Applies first and syncs then: what is not synced yet can only make the ledger more careful. */
+    /** Applies the event before it is synced, so that concurrent calls cannot allocate the same tokens twice. */
     private async record(event: LedgerEvent): Promise<void> {
         this.applyEvent(event);
         this.lastWrite = this.journal.append(event);
         await this.lastWrite;
     }
 
-    /** Before an answer that needs no record of its own: what it rests on may not be synced yet. */
-    private async waitSynced(): Promise<void> {
+    /** Waits until the state that an answer without a record of its own depends on is synced. */
+    private async waitForLastWrite(): Promise<void> {
         await this.lastWrite;
     }
 
@@ -315,7 +323,7 @@
             case "confirm":
                 return this.bills.applyConfirmation(event.requestId);
             case "giveBack":
-                this.getTotals(event.budget).returned = event.returnedTotal;
+                this.getOrCreateTotals(event.budget).returned = event.returnedTotal;
                 return;
             case "close":
                 return this.applyClose(event.id, event.complete);
@@ -329,7 +337,7 @@
                 this.sidecarsSeen.set(event.box, { incarnation: event.incarnation, at: this.eventCount });
                 return;
             case "release":
-                this.getTotals(event.budget).unaccounted -= event.tokens;
+                this.getOrCreateTotals(event.budget).unaccounted -= event.tokens;
                 return;
             case "snapshot":
                 return this.loadSnapshot(event);
@@ -351,25 +359,25 @@
             };
             this.grants.set(event.id, grant);
         }
-        this.getTotals(event.budget).open += event.grantedTotal - grant.grantedTotal;
+        this.getOrCreateTotals(event.budget).open += event.grantedTotal - grant.grantedTotal;
         grant.grantedTotal = event.grantedTotal;
         grant.drawSequence = event.sequence;
     }
 
     private applyReturn(id: string, returnedTotal: number): void {
         const grant = this.grants.get(id)!;
-        this.getTotals(grant.budget).open -= returnedTotal - grant.returnedTotal;
+        this.getOrCreateTotals(grant.budget).open -= returnedTotal - grant.returnedTotal;
         grant.returnedTotal = returnedTotal;
     }
 
     private applyUsage(usage: UsageRecord): void {
         const { consumed, billed } = this.bills.applyUsage(usage);
         if (getGrantLedger(usage.grant) !== this.id) {
-            // A grant of an earlier incarnation: its tokens came out of the sealed share, only the bill is kept here.
+            // The grant belongs to an earlier incarnation, whose sealed share covers its tokens. Only the bill is kept here.
             this.sealedSpent += billed;
             return;
         }
-        const totals = this.getTotals(usage.budget);
+        const totals = this.getOrCreateTotals(usage.budget);
         totals.spent += billed;
         const grant = this.grants.get(usage.grant);
         if (grant !== undefined) {
@@ -380,40 +388,40 @@
             this.overspent += consumed - covered;
             return;
         }
-        // The grant is closed: a late record can only come out of what was written off with it.
+        // The grant is closed, so a late record can only be covered by tokens that were written off.
         const covered = Math.min(consumed, totals.unaccounted);
         totals.unaccounted -= covered;
         this.overspent += consumed - covered;
     }
 
     private applyWithdrawal(requestId: string): void {
-        const totals = this.getTotals(this.bills.getBudget(requestId));
+        const totals = this.getOrCreateTotals(this.bills.getBudget(requestId));
         totals.spent -= this.bills.applyWithdrawal(requestId);
     }
 
     private applyClose(id: string, complete: boolean): void {
         const grant = this.grants.get(id)!;
-        const rest = Ledger.getOpenTokens(grant);
-        const totals = this.getTotals(grant.budget);
-        totals.open -= rest;
+        const openTokens = Ledger.getOpenTokens(grant);
+        const totals = this.getOrCreateTotals(grant.budget);
+        totals.open -= openTokens;
         if (!complete) {
-            totals.unaccounted += rest;
+            totals.unaccounted += openTokens;
         }
         this.grants.delete(id);
-        this.voidGrants.add(id);
+        this.closedGrantIds.add(id);
     }
 
-    private getLocalCredit(budget: string): number {
+    private computeUnreplicatedCredit(budget: string): number {
         let credit = 0;
         for (const topUp of this.topUps.values()) {
-            if (topUp.budget === budget && topUp.spendable && !this.source.hasTopUp(topUp.operationId)) {
+            if (topUp.budget === budget && topUp.spendable && !this.shareSource.hasTopUp(topUp.operationId)) {
                 credit += topUp.tokens;
             }
         }
         return credit;
     }
 
-    private getTotals(budget: string): BudgetTotals {
+    private getOrCreateTotals(budget: string): BudgetTotals {
         let totals = this.totals.get(budget);
         if (totals === undefined) {
             totals = { returned: 0, spent: 0, unaccounted: 0, open: 0 };
@@ -449,15 +457,15 @@
     }
 }
 
-/** Checks that every token of a share is somewhere, and nothing is negative. */
+/** Whether every balance adds up to the tokens of its share, matches the open grants and has no negative part. */
 export function checkLedgerConservation(ledger: Ledger): boolean {
     return ledger.getBudgets().every(budget => {
         const balance = ledger.getBalance(budget);
         const sum = balance.free + balance.open + balance.spent + balance.unaccounted;
         const noneNegative = balance.free >= 0 && balance.open >= 0 && balance.spent >= 0 && balance.unaccounted >= 0;
-        const grantsOpen = ledger.getGrants()
+        const openGrantTokens = ledger.getGrants()
             .filter(grant => grant.budget === budget)
             .reduce((total, grant) => total + Ledger.getOpenTokens(grant), 0);
-        return sum === balance.allotted - balance.returned && noneNegative && grantsOpen === balance.open;
+        return sum === balance.allotted - balance.returned && noneNegative && openGrantTokens === balance.open;
     });
 }
--- a/src/domain/ledgerEvents.ts
+++ b/src/domain/ledgerEvents.ts
@@ -1,8 +1,8 @@
-/** The records of a ledger's journal. */
+/** Record types of the ledger's journal. */
 import type { BillRecord, UsageRecord } from "./billBook.js";
 import type { LedgerGrant, StoredTopUp } from "./ledger.js";
 
-/** One journaled change of a ledger. Totals, so that reading one twice does no harm. */
+/** A change of a ledger. Grants, returns and usage carry cumulative totals. */
 export type LedgerEvent =
     | {
         readonly type: "grant";
@@ -24,7 +24,7 @@
     | { readonly type: "release"; readonly budget: string; readonly tokens: number; }
     | LedgerSnapshotEvent;
 
-/** The whole state of a ledger, at the head of a compacted journal. */
+/** The complete state of a ledger; always the first record of a compacted journal. */
 export interface LedgerSnapshotEvent {
     readonly type: "snapshot";
     readonly eventCount: number;
