--- a/src/domain/budgetBook.ts
+++ b/src/domain/budgetBook.ts
@@ -1,6 +1,6 @@
 /**
- * The replicated part of the budgets: top-ups, what is unallocated, and the share handed to each ledger.
- * A share is handed over for good: only its ledger can give any of it back.
+ * Replicated budget state: top-ups, unallocated tokens and the share allotted to each ledger. Allotted tokens can only be
+ * returned by the ledger that holds them.
  */
 import type {
     AllotCommand,
@@ -11,25 +11,24 @@
 } from "./commands.js";
 import { createRefusal, type Refusal } from "./resultCodes.js";
 
-/** One ledger's share of one budget, as the log knows it. Totals only grow. */
+/** A ledger's share of a budget as of the applied log. The allotted and returned totals are monotonic. */
 export interface Share {
     allottedTotal: number;
     returnedTotal: number;
     spentTotal: number;
     unaccountedTotal: number;
     demand: number;
-    /** Sequence number of the last allotment, so that a resend is harmless. */
+    /** Sequence number of the last allotment; makes allotments idempotent. */
     allotSequence: number;
 }
 
-/** One budget's tokens. */
 export interface BudgetAccount {
     toppedUp: number;
     unallocated: number;
     shares: Record<string, Share>;
 }
 
-/** One ledger's incarnation. A sealed one draws nothing ever again. */
+/** An incarnation of a ledger. A sealed incarnation receives no further allotments. */
 export interface LedgerRecord {
     readonly ledger: string;
     readonly controller: string;
@@ -37,7 +36,7 @@
     sealed: boolean;
 }
 
-/** A top-up the log holds; its operation id is never forgotten. */
+/** A committed top-up. Kept permanently, so that its operation id cannot be credited twice. */
 export interface TopUpRecord {
     readonly budget: string;
     readonly tokens: number;
@@ -49,12 +48,11 @@
     readonly topUps: Record<string, TopUpRecord>;
 }
 
-/** Result of a command on budgets. */
 export type BudgetResult =
     | { readonly type: "accepted"; readonly tokens: number; }
     | { readonly type: "refused"; readonly refusal: Refusal; };
 
-/** Applies the commands on budgets in the log's order. Deterministic. */
+/** Applies budget commands in log order. Deterministic. */
 export class BudgetBook {
     private budgets = new Map<string, BudgetAccount>();
     private ledgers = new Map<string, LedgerRecord>();
@@ -80,17 +78,17 @@
         return this.ledgers.get(ledger);
     }
 
-    /** Every ledger ever registered, sealed ones too. */
+    /** All registered ledgers, including sealed ones. */
     getLedgers(): LedgerRecord[] {
         return [...this.ledgers.values()];
     }
 
-    /** The ledgers that may still draw, in order of registration. */
+    /** The ledgers that are not sealed, in order of registration. */
     getOpenLedgers(): LedgerRecord[] {
         return [...this.ledgers.values()].filter(record => !record.sealed);
     }
 
-    /** Begins an incarnation and seals the earlier ones of the same controller. */
+    /** Registers a ledger incarnation and seals all other incarnations of the same controller. */
     applyRegisterLedger(command: RegisterLedgerCommand): BudgetResult {
         const known = this.ledgers.get(command.ledger);
         if (known?.sealed === true) {
@@ -110,12 +108,12 @@
         return { type: "accepted", tokens: 0 };
     }
 
-    /** Credits a top-up once, however often it is sent. */
+    /** Credits a top-up. Idempotent by operation id. */
     applyCreditTopUp(command: CreditTopUpCommand): BudgetResult {
         const known = this.topUps.get(command.operationId);
         if (known !== undefined) {
-            const same = known.budget === command.budget && known.tokens === command.tokens;
-            return same
+            const isResend = known.budget === command.budget && known.tokens === command.tokens;
+            return isResend
                 ? { type: "accepted", tokens: known.tokens }
                 : { type: "refused", refusal: createRefusal("operationReused", command.operationId) };
         }
@@ -131,7 +129,7 @@
         return { type: "accepted", tokens: command.tokens };
     }
 
-    /** Moves what is asked for, or as much as there is, to the ledger's share. */
+    /** Moves the requested tokens, or as many as are unallocated, to the ledger's share. */
     applyAllot(command: AllotCommand): BudgetResult {
         const record = this.ledgers.get(command.ledger);
         if (record === undefined || record.sealed) {
@@ -142,14 +140,14 @@
         if (command.sequence !== share.allotSequence + 1) {
             return { type: "accepted", tokens: 0 };
         }
-        const moved = Math.min(command.tokens, account.unallocated);
+        const allottedTokens = Math.min(command.tokens, account.unallocated);
         share.allotSequence = command.sequence;
-        share.allottedTotal += moved;
-        account.unallocated -= moved;
-        return { type: "accepted", tokens: moved };
+        share.allottedTotal += allottedTokens;
+        account.unallocated -= allottedTokens;
+        return { type: "accepted", tokens: allottedTokens };
     }
 
-    /** Takes in a ledger's totals; what it has given back since its last report becomes unallocated. */
+    /** Applies a ledger's totals; tokens returned since its previous report become unallocated. */
     applyReportShares(command: ReportSharesCommand): BudgetResult {
         for (const report of command.shares) {
             this.applyShareReport(command.ledger, report);
@@ -208,11 +206,11 @@
     }
 }
 
-/** Checks that a budget's tokens are all somewhere: topped up = unallocated + the shares' (allotted - returned). */
+/** Whether topped up = unallocated + the sum of (allotted - returned) over all shares. */
 export function checkBudgetConservation(account: BudgetAccount): boolean {
-    let held = account.unallocated;
+    let accountedTokens = account.unallocated;
     for (const share of Object.values(account.shares)) {
-        held += share.allottedTotal - share.returnedTotal;
+        accountedTokens += share.allottedTotal - share.returnedTotal;
     }
-    return held === account.toppedUp && account.unallocated >= 0;
+    return accountedTokens === account.toppedUp && account.unallocated >= 0;
 }
--- a/src/domain/grantBook.ts
+++ b/src/domain/grantBook.ts
@@ -1,37 +1,37 @@
 /**
- * A router's grants: tokens it may reserve from until they expire. A router reserves only what a ledger has granted, so
- * it cannot overspend however long it is cut off.
+ * A router's grants: tokens that it may reserve until the grant expires. A router reserves only tokens that a ledger has
+ * granted, so it cannot overspend during a network partition.
  *
- * Conservation, for each grant: granted = free + reserved + held + consumed + returned.
+ * Invariant for each grant: granted = free + reserved + held + consumed + returned.
  */
 import type { Clock } from "../ports/clock.js";
 import { createGrantId } from "./identifiers.js";
 
-/** One grant as its router sees it. All in tokens. */
+/** A grant as seen by its router. Amounts are in tokens. */
 export interface RouterGrant {
     readonly id: string;
     readonly ledger: string;
     readonly controller: string;
     readonly budget: string;
-    /** Monotonic clock, milliseconds, counted from before the grant was asked for. */
+    /** Monotonic time in milliseconds. The lifetime starts before the grant is requested from the ledger. */
     readonly expiresAt: number;
     granted: number;
     reserved: number;
-    /** Reserved by runs whose sidecar was lost: only the ledger can settle it. */
+    /** Reserved by runs of unknown consumption, for example after a lost sidecar; left for the ledger to settle. */
     held: number;
     consumed: number;
     returned: number;
     drawSequence: number;
-    /** Takes no more draws. */
+    /** Whether further draws on the grant are disallowed. */
     retired: boolean;
 }
 
-/** Tokens of a grant that can still be reserved. */
+/** Computes the tokens of a grant that can still be reserved. */
 export function getGrantFree(grant: RouterGrant): number {
     return grant.granted - grant.reserved - grant.held - grant.consumed - grant.returned;
 }
 
-/** Tokens that one run may consume. Settle it exactly once. */
+/** Tokens reserved for one run. Ends with the first call of `settle` or `hold`; later calls have no effect. */
 export class Reservation {
     private settled = false;
 
@@ -41,12 +41,12 @@
         return this.tokens;
     }
 
-    /** Whether a run may still be sent out under it. To be asked right before sending. */
+    /** Whether a run may be dispatched under the reservation. Check immediately before dispatching. */
     isUsable(now: number): boolean {
         return !this.settled && now < this.grant.expiresAt;
     }
 
-    /** Gives back all but `tokens`, for instance when the engine has counted the prompt. */
+    /** Reduces the reservation to `tokens`, for example when the engine has reported the prompt's token count. */
     shrink(tokens: number): void {
         if (!this.settled && tokens < this.tokens) {
             this.grant.reserved -= this.tokens - tokens;
@@ -55,18 +55,18 @@
         }
     }
 
-    /** Ends it with what the run consumed; the rest can be reserved again. */
+    /** Ends the reservation with the run's consumption and frees the remainder. */
     settle(consumed: number): void {
-        this.end(Math.min(consumed, this.tokens), 0);
+        this.close(Math.min(consumed, this.tokens), 0);
     }
 
-    /** Ends it where nobody knows what was consumed beyond `consumed`; the rest is left for the ledger to settle. */
+    /** Ends the reservation when the run consumed at least `consumed`; the remainder is held for the ledger to settle. */
     hold(consumed: number): void {
-        const known = Math.min(consumed, this.tokens);
-        this.end(known, this.tokens - known);
+        const knownConsumed = Math.min(consumed, this.tokens);
+        this.close(knownConsumed, this.tokens - knownConsumed);
     }
 
-    private end(consumed: number, held: number): void {
+    private close(consumed: number, held: number): void {
         if (this.settled) {
             return;
         }
@@ -84,8 +84,8 @@
     constructor(
         private readonly router: string,
         private readonly clock: Clock,
-        /** Called whenever a reservation has freed something. */
-        private readonly onFreed: (budget: string) => void,
+        /** Called when a reservation shrinks or ends. */
+        private readonly onTokensFreed: (budget: string) => void,
     ) {}
 
     getAll(): RouterGrant[] {
@@ -96,44 +96,44 @@
         return this.getAll().filter(grant => grant.budget === budget);
     }
 
-    /** Reserves from the grant that expires first among those that have enough. */
+    /** Reserves from the earliest-expiring grant that has enough free tokens. */
     tryReserve(budget: string, tokens: number): Reservation | undefined {
         const now = this.clock.getMonotonicMs();
-        let best: RouterGrant | undefined;
+        let earliest: RouterGrant | undefined;
         for (const grant of this.grants.values()) {
             const usable = grant.budget === budget && now < grant.expiresAt && getGrantFree(grant) >= tokens;
-            if (usable && (best === undefined || grant.expiresAt < best.expiresAt)) {
-                best = grant;
+            if (usable && (earliest === undefined || grant.expiresAt < earliest.expiresAt)) {
+                earliest = grant;
             }
         }
-        if (best === undefined) {
+        if (earliest === undefined) {
             return undefined;
         }
-        best.reserved += tokens;
-        return new Reservation(best, tokens, () => this.onFreed(budget));
+        earliest.reserved += tokens;
+        return new Reservation(earliest, tokens, () => this.onTokensFreed(budget));
     }
 
-    /** Whether a run that ends soon may free tokens of the budget. */
+    /** Whether tokens of the budget are reserved by runs, and may become free when those end. */
     hasReserved(budget: string): boolean {
         return this.getOfBudget(budget).some(grant => grant.reserved > 0);
     }
 
-    /** The grant to draw more on: of the ledger, not retired, and with some life left. */
-    tryGetDrawable(budget: string, ledger: string, leastLifeMs: number): RouterGrant | undefined {
+    /** Returns a grant of the ledger that is not retired and has more than `minRemainingMs` of its lifetime left. */
+    tryGetDrawable(budget: string, ledger: string, minRemainingMs: number): RouterGrant | undefined {
         const now = this.clock.getMonotonicMs();
         return this.getOfBudget(budget).find(grant =>
-            grant.ledger === ledger && !grant.retired && grant.expiresAt - now > leastLifeMs
+            grant.ledger === ledger && !grant.retired && grant.expiresAt - now > minRemainingMs
         );
     }
 
-    /** Opens a grant; nothing is granted on it yet. Its life is counted from now, before the ledger is asked. */
-    open(budget: string, ledger: string, controller: string, lifeMs: number): RouterGrant {
+    /** Opens an empty grant. Its lifetime starts now, so that it expires here before it expires at the ledger. */
+    open(budget: string, ledger: string, controller: string, lifetimeMs: number): RouterGrant {
         const grant: RouterGrant = {
             id: createGrantId(ledger, this.router),
             ledger,
             controller,
             budget,
-            expiresAt: this.clock.getMonotonicMs() + lifeMs,
+            expiresAt: this.clock.getMonotonicMs() + lifetimeMs,
             granted: 0,
             reserved: 0,
             held: 0,
--- a/src/domain/intentBook.ts
+++ b/src/domain/intentBook.ts
@@ -1,17 +1,17 @@
 /**
- * Intents: before a not-repeatable request is dispatched, its home ledger has a synced record of who may dispatch it.
- * Nobody else ever may, unless that owner says that nothing ran.
+ * Intents: before a non-repeatable request is dispatched, its home ledger syncs a record of the only owner that may dispatch
+ * it. The owner withdraws the intent if the request did not run.
  */
 import type { Journal } from "../ports/journal.js";
 
-/** How many intents are kept; the oldest go first. */
-export const INTENTS_KEPT = 500_000;
+/** Maximum number of stored intents; the oldest are evicted first. */
+export const MAX_INTENTS = 500_000;
 
 type IntentEvent =
     | { readonly type: "intend"; readonly requestId: string; readonly digest: string; readonly owner: string; }
     | { readonly type: "withdraw"; readonly requestId: string; };
 
-/** Who may dispatch a request, and the digest of its body. */
+/** The owner that may dispatch a request, and the digest of the request's body. */
 export interface Intent {
     readonly digest: string;
     readonly owner: string;
@@ -22,29 +22,29 @@
     private lastWrite: Promise<void> = Promise.resolve();
 
     constructor(private readonly journal: Journal, events: readonly IntentEvent[] = []) {
-        events.forEach(event => this.apply(event));
+        events.forEach(event => this.applyEvent(event));
     }
 
-    /** Stores the intent, or answers the one that stands already. Resolves once synced. */
+    /** Stores the intent unless the request has one, and resolves with the stored intent once it is synced. */
     async intend(requestId: string, intent: Intent): Promise<Intent> {
-        const standing = this.intents.get(requestId);
-        if (standing === undefined) {
+        const existing = this.intents.get(requestId);
+        if (existing === undefined) {
             await this.record({ type: "intend", requestId, ...intent });
             return intent;
         }
-        // A resend may find an intent that is not synced yet.
+        // The existing intent may not be synced yet.
         await this.lastWrite;
-        return standing;
+        return existing;
     }
 
-    /** Removes an intent, if `owner` still holds it. */
+    /** Removes the intent if it belongs to `owner`. */
     async withdraw(requestId: string, owner: string): Promise<void> {
         if (this.intents.get(requestId)?.owner === owner) {
             await this.record({ type: "withdraw", requestId });
         }
     }
 
-    /** Rewrites the journal without what has been withdrawn or has grown too old. */
+    /** Rewrites the journal without withdrawn and evicted intents. */
     async compact(): Promise<void> {
         const events = [...this.intents].map(([requestId, intent]) => ({
             type: "intend" as const,
@@ -55,18 +55,18 @@
     }
 
     private async record(event: IntentEvent): Promise<void> {
-        this.apply(event);
+        this.applyEvent(event);
         this.lastWrite = this.journal.append(event);
         await this.lastWrite;
     }
 
-    private apply(event: IntentEvent): void {
+    private applyEvent(event: IntentEvent): void {
         if (event.type === "withdraw") {
             this.intents.delete(event.requestId);
             return;
         }
         this.intents.set(event.requestId, { digest: event.digest, owner: event.owner });
-        if (this.intents.size > INTENTS_KEPT) {
+        if (this.intents.size > MAX_INTENTS) {
             this.intents.delete(this.intents.keys().next().value!);
         }
     }
