--- a/src/domain/allocationPolicy.ts
+++ b/src/domain/allocationPolicy.ts
@@ -1,35 +1,35 @@
-/** How a budget is shared out among ledgers. The policies are measured against each other in docs/MEASURES.md. */
+/** Policies that allocate a budget's tokens among ledgers. docs/MEASURES.md compares them. */
 import type { BudgetAccount } from "./budgetBook.js";
 import type { BudgetSpec } from "./objects.js";
 
-/** What a policy knows of a budget: the replicated account, the ledgers that may draw, and the asking ledger's own. */
+/** Input of a policy: the replicated account, the open ledgers and the local state of the requesting ledger. */
 export interface AllocationView {
     readonly account: BudgetAccount;
     readonly openLedgers: readonly string[];
     readonly self: string;
-    /** The asking ledger's demand, in tokens a second; newer than what the log has. */
+    /** Current demand of the requesting ledger in tokens per second; more recent than the replicated value. */
     readonly ownDemand: number;
-    /** What the asking ledger has free, in tokens. */
+    /** Free tokens of the requesting ledger. */
     readonly ownFree: number;
 }
 
-/** Decides how much of a budget a ledger should hold. */
+/** Determines how many tokens of a budget a ledger should hold. */
 export abstract class AllocationPolicy {
-    /** Tokens that the asking ledger should hold free, when all is well. */
+    /** Computes the number of free tokens that the requesting ledger should hold. */
     abstract getTarget(view: AllocationView): number;
-    /** Whether ledgers lend to each other when one runs short. */
+    /** Whether a ledger that runs short may recall tokens from other ledgers. */
     abstract mayRecall(): boolean;
-    /** Whether a ledger gives back what it holds beyond its target. */
+    /** Whether a ledger returns the tokens that it holds in excess of its target. */
     abstract mayGiveBack(): boolean;
 }
 
-/** Every ledger gets the same part of each top-up and keeps it. The baseline. */
+/** Allocates an equal part of each top-up to every ledger, regardless of demand. Baseline for comparisons. */
 export class EqualSplitPolicy extends AllocationPolicy {
     override getTarget(view: AllocationView): number {
         const share = view.account.shares[view.self];
-        const part = Math.floor(view.account.toppedUp / Math.max(1, view.openLedgers.length));
-        const held = (share?.allottedTotal ?? 0) - (share?.returnedTotal ?? 0);
-        return Math.max(0, view.ownFree + part - held);
+        const equalShare = Math.floor(view.account.toppedUp / Math.max(1, view.openLedgers.length));
+        const heldTokens = (share?.allottedTotal ?? 0) - (share?.returnedTotal ?? 0);
+        return Math.max(0, view.ownFree + equalShare - heldTokens);
     }
     override mayRecall(): boolean {
         return false;
@@ -40,30 +40,30 @@
 }
 
 /**
- * What is left follows demand, but for a part spread evenly so that a ledger that is cut off before it had any demand
- * can still serve.
+ * Allocates the remaining tokens in proportion to demand, except for a fraction that is divided evenly so that a ledger
+ * without prior demand can serve requests during a network partition.
  */
 export class FollowDemandPolicy extends AllocationPolicy {
     /**
-     * `evenPart`: fraction of what is left that is spread evenly. `assumedDemand`: tokens a second assumed of each ledger
-     * beside what was seen, so that a few early requests do not decide for all.
+     * `evenFraction`: fraction of the remaining tokens that is divided evenly. `assumedTokensPerSecond`: added to each
+     * ledger's observed demand, so that the first few requests do not dominate the allocation.
      */
-    constructor(private readonly evenPart: number, private readonly assumedDemand: number) {
+    constructor(private readonly evenFraction: number, private readonly assumedTokensPerSecond: number) {
         super();
     }
 
     override getTarget(view: AllocationView): number {
         const count = Math.max(1, view.openLedgers.length);
-        const remaining = getRemaining(view.account, view.openLedgers);
-        const ownDemand = view.ownDemand + this.assumedDemand;
+        const remaining = computeRemainingTokens(view.account, view.openLedgers);
+        const ownDemand = view.ownDemand + this.assumedTokensPerSecond;
         let demandSum = ownDemand;
         for (const ledger of view.openLedgers) {
             if (ledger !== view.self) {
-                demandSum += (view.account.shares[ledger]?.demand ?? 0) + this.assumedDemand;
+                demandSum += (view.account.shares[ledger]?.demand ?? 0) + this.assumedTokensPerSecond;
             }
         }
-        const demandPart = demandSum > 0 ? ownDemand / demandSum : 1 / count;
-        return Math.floor(remaining * (this.evenPart / count + (1 - this.evenPart) * demandPart));
+        const demandFraction = demandSum > 0 ? ownDemand / demandSum : 1 / count;
+        return Math.floor(remaining * (this.evenFraction / count + (1 - this.evenFraction) * demandFraction));
     }
     override mayRecall(): boolean {
         return true;
@@ -73,8 +73,8 @@
     }
 }
 
-/** Tokens of a budget that some open ledger can still spend, as far as the log knows. */
-export function getRemaining(account: BudgetAccount, openLedgers: readonly string[]): number {
+/** Computes the tokens that are unallocated or unspent in the shares of open ledgers, as of the applied log. */
+export function computeRemainingTokens(account: BudgetAccount, openLedgers: readonly string[]): number {
     let remaining = account.unallocated;
     for (const ledger of openLedgers) {
         const share = account.shares[ledger];
@@ -86,15 +86,12 @@
     return Math.max(0, remaining);
 }
 
-const EVEN_PART = 0.5;
-/** Tokens a second. */
-const ASSUMED_DEMAND = 30;
+const EVEN_FRACTION = 0.5;
+const ASSUMED_TOKENS_PER_SECOND = 30;
 
-const equalSplit = new EqualSplitPolicy();
-// Chosen by bench:sweep; see docs/MEASURES.md.
-const followDemand = new FollowDemandPolicy(EVEN_PART, ASSUMED_DEMAND);
+const equalSplitPolicy = new EqualSplitPolicy();
+const followDemandPolicy = new FollowDemandPolicy(EVEN_FRACTION, ASSUMED_TOKENS_PER_SECOND);
 
-/** The policy a budget declares. */
 export function getPolicy(name: BudgetSpec["policy"]): AllocationPolicy {
-    return name === "equalSplit" ? equalSplit : followDemand;
+    return name === "equalSplit" ? equalSplitPolicy : followDemandPolicy;
 }
