--- a/src/domain/commands.ts
+++ b/src/domain/commands.ts
@@ -1,4 +1,4 @@
-/** The commands of the replicated log. Each is applied once on every controller, in the log's order. */
+/** Commands of the replicated log. Every controller applies each of them once, in log order. */
 import * as z from "zod";
 import { prepaidReportCommand, putBundleCommand } from "./bundleCommands.js";
 import { setEvacuationCommand } from "./evacuationCommands.js";
@@ -8,7 +8,7 @@
 const ledgerId = z.string().min(3).max(128);
 const count = z.int().min(0);
 
-/** A controller's ledger begins an incarnation; older incarnations of it are sealed. */
+/** Registers a new incarnation of a controller's ledger and seals its earlier incarnations. */
 export const registerLedgerCommand = z.strictObject({
     type: z.literal("registerLedger"),
     controller: nameSchema,
@@ -16,13 +16,13 @@
     ledger: ledgerId,
 });
 
-/** A top-up its home has stored. `ledger` is set where that ledger has made it spendable already. */
+/** Credits a top-up stored by its home ledger. `ledger` is set if that ledger has already made it spendable. */
 export const creditTopUpCommand = topUpRequest.extend({
     type: z.literal("creditTopUp"),
     ledger: ledgerId.optional(),
 });
 
-/** Moves up to `tokens` from what is unallocated to a ledger's share. `sequence` makes a resend harmless. */
+/** Moves up to `tokens` unallocated tokens to a ledger's share. `sequence` makes the command idempotent. */
 export const allotCommand = z.strictObject({
     type: z.literal("allot"),
     ledger: ledgerId,
@@ -31,39 +31,42 @@
     tokens: z.int().min(1),
 });
 
-/** What a ledger tells of its shares. All totals only grow, so that a resend or an old copy is harmless. */
+/** A ledger's report of its shares. Returned tokens are cumulative, so that a resend does not return them twice. */
 export const reportSharesCommand = z.strictObject({
     type: z.literal("reportShares"),
     ledger: ledgerId,
     shares: z.array(z.strictObject({
         budget: nameSchema,
-        /** Tokens given back so far; they are unallocated once this is applied. */
+        /** Cumulative tokens returned; they become unallocated when the report is applied. */
         returnedTotal: count,
-        /** Tokens spent so far. */
+        /** Tokens spent so far, less withdrawn bills. */
         spentTotal: count,
-        /** Tokens written off so far, because nobody can account for them. */
+        /** Tokens written off because their consumption is unknown. */
         unaccountedTotal: count,
-        /** Tokens a second drawn lately, as a moving average. */
+        /** Moving average of the draw rate, in tokens per second. */
         demand: z.number().min(0),
     })).max(2000),
 });
 
-/** One replica of the log. A replica that does not vote is copied to, and counts for no majority. */
+/** A replica of the log. A non-voting replica receives entries but does not count towards a majority. */
 export const replicaSchema = z.strictObject({
     name: z.string().min(1).max(128),
-    /** Where the others reach it, HOST:PORT. */
+    /** Address for other replicas, as HOST:PORT. */
     address: z.string().min(3).max(128),
     voting: z.boolean(),
 });
 
-/** The replicas of the log from this entry on. In force as soon as it is in a log (Raft, section 6, one at a time). */
+/**
+ * Replaces the set of replicas. Takes effect when the entry is appended, not when it is committed, and changes one replica
+ * at a time (Raft, section 6).
+ */
 export const setReplicasCommand = z.strictObject({
     type: z.literal("setReplicas"),
     replicas: z.array(replicaSchema).min(1).max(64),
 });
 export type Replica = z.infer<typeof replicaSchema>;
 
-/** Changes nothing; a new leader commits what earlier terms left with it. */
+/** Has no effect. A new leader appends it to commit entries of earlier terms. */
 export const noopCommand = z.strictObject({ type: z.literal("noop") });
 
 export const commandSchema = z.union([
@@ -88,7 +91,7 @@
 export type ShareReport = ReportSharesCommand["shares"][number];
 export type RegisterLedgerCommand = z.infer<typeof registerLedgerCommand>;
 
-/** One entry of the replicated log. `at` is the leader's wall clock, for the audit trail only. */
+/** An entry of the replicated log. `at` is the leader's wall-clock time, used only by the audit trail. */
 export interface LogEntry {
     readonly index: number;
     readonly term: number;
--- a/src/domain/declaredState.ts
+++ b/src/domain/declaredState.ts
@@ -1,4 +1,4 @@
-/** The replicated state: declared objects and budgets, changed only by the log's entries. */
+/** The replicated state machine: the state that the log's commands change. */
 import { BudgetBook, type BudgetBookSnapshot, type BudgetResult } from "./budgetBook.js";
 import type { PutBundleCommand } from "./bundleCommands.js";
 import { type BundleResult, BundleStore, type StoredBundle } from "./bundleStore.js";
@@ -10,10 +10,10 @@
 
 export type ApplyResult = ChangeResult | BudgetResult | BundleResult | PrepaidResult | EvacuationResult;
 
-/** The answer to what has no result of its own. */
+/** Result of commands that have no specific result. */
 const ACCEPTED: BudgetResult = { type: "accepted", tokens: 0 };
 
-/** The whole replicated state at one log index. */
+/** The complete replicated state at one log index. */
 export interface StateSnapshot {
     readonly objects: ObjectStoreSnapshot;
     readonly budgets: BudgetBookSnapshot;
@@ -23,7 +23,7 @@
     readonly evacuations?: EvacuationSnapshot | undefined;
 }
 
-/** Applies entries in order and answers each. */
+/** Applies log entries in order. Deterministic. */
 export class DeclaredState {
     readonly objects = new ObjectStore();
     readonly budgets = new BudgetBook();
--- a/src/domain/objectStore.ts
+++ b/src/domain/objectStore.ts
@@ -1,40 +1,39 @@
-/** The declared objects: compare-and-set on revisions, answers to resent operations, and the history that watches read. */
+/** Store of declared objects with compare-and-set by revision, idempotent operations and a change history for watches. */
 import { computeDigest, formatCanonicalJson } from "./identifiers.js";
 import type { DeclaredObject, Kind, ObjectChange, ObjectChangeRequest, SpecByKind } from "./objects.js";
 import { isDeletion, kinds } from "./objects.js";
 import { createRefusal, type Refusal } from "./resultCodes.js";
 
-/** How many changes a watch may lie behind before it gets a snapshot instead. */
+/** Number of changes that are always retained for watches; a watch further behind may receive a snapshot. */
 export const HISTORY_LENGTH = 4096;
-/** How many operations are remembered to answer a resend; at 58,000 changes a day this is eight hours. */
-export const OPERATIONS_KEPT = 20_000;
+/** Maximum number of operation results retained to answer resends: about eight hours at 58,000 changes a day. */
+export const MAX_OPERATIONS = 20_000;
 
-/** The answer to a change, the same to every resend of its operation. */
+/** Result of a change; a resend of the operation returns the same result. */
 export type ChangeResult =
     | { readonly type: "accepted"; readonly revision: number; readonly before?: unknown; readonly after?: unknown; }
     | { readonly type: "refused"; readonly refusal: Refusal; readonly revision?: number; };
 
-/** The store's content, as a snapshot holds it. */
 export interface ObjectStoreSnapshot {
     readonly revision: number;
     readonly objects: readonly DeclaredObject[];
     readonly operations: readonly (readonly [string, string, ChangeResult])[];
 }
 
-interface RememberedOperation {
+interface CompletedOperation {
     readonly digest: string;
     readonly result: ChangeResult;
 }
 
-/** Applies operators' changes in the log's order. Deterministic: every replica comes to the same content. */
+/** Applies operators' changes in log order. Deterministic, so that replicas do not diverge. */
 export class ObjectStore {
     private readonly objects = new Map<string, DeclaredObject>();
-    private readonly operations = new Map<string, RememberedOperation>();
+    private readonly operations = new Map<string, CompletedOperation>();
     private history: ObjectChange[] = [];
-    private historyFrom = 0;
+    private historyStartRevision = 0;
     private lastRevision = 0;
 
-    /** Revision of the newest change. */
+    /** Returns the revision of the newest change. */
     getRevision(): number {
         return this.lastRevision;
     }
@@ -43,7 +42,7 @@
         return this.objects.get(`${kind}/${name}`) as DeclaredObject<K> | undefined;
     }
 
-    /** All objects of a kind in order of name. */
+    /** Returns all objects of a kind, sorted by name. */
     getAll<K extends Kind>(kind: K): DeclaredObject<K>[] {
         const found: DeclaredObject<K>[] = [];
         for (const object of this.objects.values()) {
@@ -54,35 +53,34 @@
         return found.sort((a, b) => (a.name < b.name ? -1 : 1));
     }
 
-    /** The changes after `revision`, or undefined when the history does not reach back that far. */
+    /** Returns the changes after `revision`, or undefined if the history does not go back that far. */
     tryGetChangesSince(revision: number): readonly ObjectChange[] | undefined {
-        if (revision < this.historyFrom) {
+        if (revision < this.historyStartRevision) {
             return undefined;
         }
         return this.history.filter(change => change.revision > revision);
     }
 
-    /** Every object as it is now. */
     getSnapshotObjects(): DeclaredObject[] {
         return [...this.objects.values()];
     }
 
-    /** Applies one change at log index `index`, or repeats the answer its operation got before. */
+    /** Applies a change at log index `index`, or returns the earlier result if its operation was applied before. */
     apply(change: ObjectChangeRequest, index: number): ChangeResult {
         const digest = computeDigest(formatCanonicalJson({ ...change, operator: "" }));
-        const remembered = this.operations.get(change.operationId);
-        if (remembered !== undefined) {
-            if (remembered.digest === digest) {
-                return remembered.result;
+        const completed = this.operations.get(change.operationId);
+        if (completed !== undefined) {
+            if (completed.digest === digest) {
+                return completed.result;
             }
             return { type: "refused", refusal: createRefusal("operationReused", change.operationId) };
         }
-        const result = this.applyOnce(change, index);
+        const result = this.validateAndApply(change, index);
         this.recordOperation(change.operationId, { digest, result });
         return result;
     }
 
-    private applyOnce(change: ObjectChangeRequest, index: number): ChangeResult {
+    private validateAndApply(change: ObjectChangeRequest, index: number): ChangeResult {
         const current = this.tryGet(change.kind, change.name);
         const currentRevision = current?.revision ?? 0;
         if (change.expected !== undefined && change.expected !== currentRevision) {
@@ -105,7 +103,7 @@
         };
     }
 
-    /** Takes a change in and keeps it for watches. */
+    /** Updates the objects and appends the change to the history. */
     private applyChange(change: ObjectChange): void {
         if (isDeletion(change)) {
             this.objects.delete(`${change.kind}/${change.name}`);
@@ -117,7 +115,7 @@
         this.history.push(change);
         if (this.history.length > HISTORY_LENGTH * 2) {
             const dropped = this.history.splice(0, HISTORY_LENGTH);
-            this.historyFrom = dropped[dropped.length - 1]!.revision;
+            this.historyStartRevision = dropped[dropped.length - 1]!.revision;
         }
     }
 
@@ -139,11 +137,11 @@
         if (current === undefined) {
             return createRefusal("objectUnknown", `${change.kind}/${change.name}`);
         }
-        const user = this.tryGetUser(change.kind, change.name);
-        return user === undefined ? undefined : createRefusal("stillReferenced", `by ${user}`);
+        const referrer = this.tryGetReferrer(change.kind, change.name);
+        return referrer === undefined ? undefined : createRefusal("stillReferenced", `by ${referrer}`);
     }
 
-    private tryGetUser(kind: Kind, name: string): string | undefined {
+    private tryGetReferrer(kind: Kind, name: string): string | undefined {
         for (const object of this.objects.values()) {
             const spec = object.spec as { account?: string; service?: string; };
             if ((kind === "clientAccount" && spec.account === name) || (kind === "service" && spec.service === name)) {
@@ -153,9 +151,9 @@
         return undefined;
     }
 
-    private recordOperation(operationId: string, operation: RememberedOperation): void {
+    private recordOperation(operationId: string, operation: CompletedOperation): void {
         this.operations.set(operationId, operation);
-        if (this.operations.size > OPERATIONS_KEPT) {
+        if (this.operations.size > MAX_OPERATIONS) {
             const oldest = this.operations.keys().next().value!;
             this.operations.delete(oldest);
         }
@@ -171,7 +169,7 @@
         };
     }
 
-    /** Replaces the content by a snapshot's. Watches older than it get a snapshot themselves. */
+    /** Replaces the content with a snapshot. Watches at an earlier revision receive a snapshot, too. */
     loadSnapshot(snapshot: ObjectStoreSnapshot): void {
         this.objects.clear();
         this.operations.clear();
@@ -182,12 +180,11 @@
             this.operations.set(id, { digest, result });
         }
         this.history = [];
-        this.historyFrom = snapshot.revision;
+        this.historyStartRevision = snapshot.revision;
         this.lastRevision = snapshot.revision;
     }
 }
 
-/** Whether `text` names a kind of declared object. */
 export function isKind(text: string): text is Kind {
     return (kinds as readonly string[]).includes(text);
 }
--- a/src/domain/objects.ts
+++ b/src/domain/objects.ts
@@ -1,7 +1,7 @@
-/** The declared objects: what operators want. Schemas first; every type is inferred from its schema. */
+/** Schemas and types of the declared objects, which hold the configuration that operators want. */
 import * as z from "zod";
 
-/** Largest token count taken anywhere, so that sums stay exact in a double. */
+/** Largest accepted token count. Sums of such counts remain exact in a double. */
 export const MAX_TOKENS = 1_000_000_000_000;
 
 const name = z.string().regex(/^[a-z0-9][a-z0-9.-]{0,62}$/, "must be 1 to 63 of a-z, 0-9, dot and dash");
@@ -12,77 +12,77 @@
     "must be an IP number and a port, such as 127.0.0.1:7100",
 );
 
-/** A client account. `keyHashes` hold salted hashes of bearer keys; the keys themselves are stored nowhere. */
+/** A client account. `keyHashes` contains salted hashes of its bearer keys; the keys themselves are not stored. */
 export const clientAccountSpec = z.strictObject({
     displayName: z.string().max(200).optional(),
     keyHashes: z.array(z.string().regex(/^sha256\$[0-9a-f]{32}\$[0-9a-f]{64}$/)).max(16),
     suspended: z.boolean().default(false),
 });
 
-/** A prepaid budget of one client account. Its tokens come from top-ups, never from the spec. */
+/** A prepaid budget of one client account. Its tokens come from top-ups, not from the spec. */
 export const budgetSpec = z.strictObject({
     account: name,
-    /** Services that may draw on it; absent means all. */
+    /** Services that may use the budget; all services if absent. */
     services: z.array(name).max(100).optional(),
-    /** How many copies a top-up needs before it is spendable: a majority of disks, or one disk and one witness in its zone. */
+    /** Copies required before a top-up is spendable: a majority of disks, or one disk and one witness in its zone. */
     topUpCopies: z.enum(["majority", "zoneWitness"]).default("majority"),
-    /** The allocation policy that shares it out among ledgers. */
+    /** Policy that allocates the budget's tokens among ledgers. */
     policy: z.enum(["equalSplit", "followDemand"]).default("followDemand"),
 });
 
-/** A service: a pool of model engines, or a plain HTTP service. */
+/** A pool of model engines, or a plain HTTP service. */
 export const serviceSpec = z.strictObject({
     type: z.enum(["model", "plain"]),
-    /** Output cap when a request names none, in tokens. */
+    /** Output limit in tokens for requests that do not specify one. */
     defaultOutputTokens: positiveTokens.default(1024),
-    /** Largest output cap a request may name, in tokens. */
+    /** Largest output limit in tokens that a request may specify. */
     maxOutputTokens: positiveTokens.default(8192),
-    /** Price of one plain call, in tokens. */
+    /** Price in tokens of one call of a plain service. */
     tokensPerCall: tokens.default(1),
-    /** Whether a request may run again when its first run is lost, unless the request says otherwise. */
+    /** Whether a request may be retried after its run is lost; a request may override this. */
     repeatable: z.boolean().default(true),
-    /** Deadline of a request that names none, in milliseconds. */
+    /** Deadline in milliseconds for requests that do not specify one. */
     defaultDeadlineMs: z.int().min(100).max(3_600_000).default(120_000),
 });
 
-/** An upstream: one engine or plain service instance behind the sidecar of its box. */
+/** One engine or plain service instance behind the sidecar of its box. */
 export const upstreamSpec = z.strictObject({
     service: name,
     box: name,
     zone: name,
     /** Address of the sidecar's peer listener. */
     sidecar: address,
-    /** Base URL of the upstream as its sidecar reaches it. */
+    /** Base URL at which the sidecar reaches the upstream. */
     url: z.url(),
-    /** How many runs it takes at once. */
+    /** Maximum number of concurrent runs. */
     slots: z.int().min(1).max(4096).default(8),
-    /** Wanted state: a leaving upstream gets no new work. */
+    /** Whether the upstream is being drained and receives no new requests. */
     leaving: z.boolean().default(false),
-    /** Adapter or model version it should hold; carried to the engine as a fenced order. */
+    /** Adapter or model version that the engine should load; sent to it as a fenced order. */
     model: z.string().max(200).optional(),
 });
 
-/** A rule that ranks requests of a service. The first matching rule in order of name wins. */
+/** A rule that assigns a priority rank to requests of a service. The first matching rule in order of name applies. */
 export const rankRuleSpec = z.strictObject({
     service: name,
-    /** Lower goes first. */
+    /** Requests of a lower rank are dispatched first. */
     rank: z.int().min(0).max(9),
     minOutputTokens: tokens.optional(),
     maxOutputTokens: tokens.optional(),
     minPromptTokens: tokens.optional(),
     maxPromptTokens: tokens.optional(),
-    /** Fraction of each upstream's slots that this rule's requests always find. */
+    /** Fraction of each upstream's slots reserved for requests that match this rule. */
     keptShare: z.number().min(0).max(0.9).default(0),
-    /** Milliseconds of waiting that lift a request by one rank. */
+    /** Queueing time in milliseconds per promotion by one rank. */
     ageingMs: z.int().min(100).max(3_600_000).default(5_000),
 });
 
-/** An availability zone, by its name, whose upstreams get no new work for as long as this is declared. */
+/** Declares that upstreams in the availability zone of the same name receive no new requests. */
 export const evacuationSpec = z.strictObject({
     reason: z.string().max(200).optional(),
 });
 
-/** Every kind of declared object with the schema of its spec. */
+/** Spec schemas by kind of declared object. */
 export const specSchemas = {
     clientAccount: clientAccountSpec,
     budget: budgetSpec,
@@ -104,7 +104,6 @@
 export type RankRuleSpec = z.infer<typeof rankRuleSpec>;
 export type EvacuationSpec = z.infer<typeof evacuationSpec>;
 
-/** The spec type of each kind. */
 export interface SpecByKind {
     clientAccount: ClientAccountSpec;
     budget: BudgetSpec;
@@ -114,7 +113,7 @@
     evacuation: EvacuationSpec;
 }
 
-/** A declared object as stored and spread. `revision` is the log index of its last change. */
+/** A declared object as stored and distributed. `revision` is the log index of its last change. */
 export interface DeclaredObject<K extends Kind = Kind> {
     readonly kind: K;
     readonly name: string;
@@ -122,7 +121,7 @@
     readonly revision: number;
 }
 
-/** One change on its way to daemons: an object, or the mark that it is gone. */
+/** A change distributed to daemons: the new object, or a tombstone. */
 export type ObjectChange = DeclaredObject | {
     readonly kind: Kind;
     readonly name: string;
@@ -130,12 +129,11 @@
     readonly deleted: true;
 };
 
-/** Whether a change removes its object. */
 export function isDeletion(change: ObjectChange): change is Extract<ObjectChange, { deleted: true; }> {
     return "deleted" in change;
 }
 
-/** An operator's change of one object. `expected` is the revision it was read at; 0 means it must not exist. */
+/** An operator's change of one object. `expected` is the required current revision; 0 requires that it does not exist. */
 export const objectChangeRequest = z.discriminatedUnion("type", [
     z.strictObject({
         type: z.literal("putObject"),
@@ -157,13 +155,13 @@
 ]);
 export type ObjectChangeRequest = z.infer<typeof objectChangeRequest>;
 
-/** A top-up as an operator asks for it. Its home is the ledger that alone accepts it. */
+/** An operator's top-up request. Only its home ledger accepts it. */
 export const topUpRequest = z.strictObject({
     operationId: z.string().min(1).max(128),
     operator: z.string().max(128),
     budget: name,
     tokens: positiveTokens,
-    /** Name of the controller whose ledger is the top-up's home. */
+    /** Name of the controller that runs the home ledger. */
     home: name,
 });
 export type TopUpRequest = z.infer<typeof topUpRequest>;
--- a/test/domain/objectStore.test.ts
+++ b/test/domain/objectStore.test.ts
@@ -1,7 +1,7 @@
 import t from "tap";
 import { ObjectStore } from "../../src/domain/objectStore.js";
 
-void t.test("a resend is recognised whatever order its keys come in", async t => {
+void t.test("a resent operation is recognised regardless of the order of its keys", async t => {
     const store = new ObjectStore();
     const first = store.apply({
         type: "putObject",
@@ -24,7 +24,7 @@
     t.same(resent, first);
 });
 
-void t.test("a reused operation id with another change is refused", async t => {
+void t.test("an operation id reused for a different change is refused", async t => {
     const store = new ObjectStore();
     store.apply({ type: "putObject", operationId: "op", operator: "x", kind: "clientAccount", name: "a", spec: {} }, 5);
     t.match(
