--- a/src/domain/configView.ts
+++ b/src/domain/configView.ts
@@ -1,4 +1,4 @@
-/** The declared configuration as a daemon holds it. It only ever moves forward. */
+/** A daemon's copy of the declared configuration. Its revision never decreases. */
 import type { ConfigUpdate } from "../protocol/configMethods.js";
 import {
     type DeclaredObject,
@@ -9,42 +9,41 @@
     type UpstreamSpec,
 } from "./objects.js";
 
-/** A named upstream. */
 export type Upstream = UpstreamSpec & { readonly name: string; };
 export type RankRule = RankRuleSpec & { readonly name: string; };
 
 export class ConfigView {
     private objects = new Map<string, DeclaredObject>();
     private revision = 0;
-    private term = 0;
+    private confirmedTerm = 0;
     private upstreamsByService = new Map<string, Upstream[]>();
     private budgetsByAccount = new Map<string, DeclaredObject<"budget">[]>();
     private rulesByService = new Map<string, RankRule[]>();
     private sidecars: string[] = [];
-    private confirmedOnce = false;
+    private hasBeenConfirmed = false;
 
     getRevision(): number {
         return this.revision;
     }
 
-    /** Highest term that came with a confirmed update; 0 before the first. */
+    /** Highest term of a confirmed update; 0 before the first one. */
     getConfirmedTerm(): number {
-        return this.term;
+        return this.confirmedTerm;
     }
 
-    /** Whether it has ever been read through a majority. */
+    /** Whether an applied update has ever been confirmed by a majority. */
     isConfirmed(): boolean {
-        return this.confirmedOnce;
+        return this.hasBeenConfirmed;
     }
 
     /**
-     * Applies an update. One that is older than what is held changes nothing, and neither does one that starts after it:
-     * an update can overtake the snapshot it builds on. Answers whether anything changed.
+     * Applies an update and returns whether the revision advanced. Ignores an update that is not newer than the current
+     * revision or that starts after it, since an update can arrive before the snapshot that it is based on.
      */
     apply(update: ConfigUpdate): boolean {
         if (update.confirmed && update.revision >= this.revision && update.from <= this.revision) {
-            this.confirmedOnce = true;
-            this.term = Math.max(this.term, update.term);
+            this.hasBeenConfirmed = true;
+            this.confirmedTerm = Math.max(this.confirmedTerm, update.term);
         }
         if (update.revision <= this.revision || update.from > this.revision) {
             return false;
@@ -78,7 +77,7 @@
         return this.upstreamsByService.get(service) ?? [];
     }
 
-    /** Whether an upstream may get new work: it is not leaving, nor is its zone evacuated. */
+    /** Whether an upstream may receive new requests: it is not leaving and its zone is not evacuated. */
     isInService({ leaving, zone }: Upstream): boolean {
         return !leaving && this.tryGet("evacuation", zone) === undefined;
     }
@@ -87,7 +86,7 @@
         return [...this.upstreamsByService.values()].flat();
     }
 
-    /** The first budget by name of an account that covers the service. */
+    /** Returns the first budget of the account, in order of name, that covers the service. */
     tryGetBudget(account: string, service: string): string | undefined {
         const budgets = this.budgetsByAccount.get(account) ?? [];
         return budgets.find(budget => budget.spec.services?.includes(service) ?? true)?.name;
@@ -97,7 +96,7 @@
         return this.rulesByService.get(service) ?? [];
     }
 
-    /** Addresses of all sidecars, sorted. */
+    /** Returns the sorted addresses of all sidecars. */
     getSidecars(): readonly string[] {
         return this.sidecars;
     }
@@ -111,23 +110,23 @@
         for (const object of sorted) {
             if (object.kind === "upstream") {
                 const spec = object.spec as UpstreamSpec;
-                addTo(this.upstreamsByService, spec.service, { ...spec, name: object.name });
+                appendToList(this.upstreamsByService, spec.service, { ...spec, name: object.name });
                 sidecars.add(spec.sidecar);
             }
             else if (object.kind === "budget") {
                 const budget = object as DeclaredObject<"budget">;
-                addTo(this.budgetsByAccount, budget.spec.account, budget);
+                appendToList(this.budgetsByAccount, budget.spec.account, budget);
             }
             else if (object.kind === "rankRule") {
                 const spec = object.spec as RankRuleSpec;
-                addTo(this.rulesByService, spec.service, { ...spec, name: object.name });
+                appendToList(this.rulesByService, spec.service, { ...spec, name: object.name });
             }
         }
         this.sidecars = [...sidecars].sort();
     }
 }
 
-function addTo<T>(map: Map<string, T[]>, key: string, value: T): void {
+function appendToList<T>(map: Map<string, T[]>, key: string, value: T): void {
     const list = map.get(key);
     if (list === undefined) {
         map.set(key, [value]);
--- a/test/domain/configView.test.ts
+++ b/test/domain/configView.test.ts
@@ -18,7 +18,7 @@
     term: 1,
 };
 
-void t.test("an update that overtakes its snapshot does not stand in for it", async t => {
+void t.test("an update that arrives before its snapshot is not applied", async t => {
     const view = new ConfigView();
     const heartbeat: ConfigUpdate = { type: "changes", changes: [], from: 10, revision: 10, confirmed: true, term: 1 };
     t.notOk(view.apply(heartbeat));
@@ -27,7 +27,7 @@
     t.ok(view.tryGet("clientAccount", "a"));
 });
 
-void t.test("the upstreams of an evacuated zone are out of service until that is taken back", async t => {
+void t.test("upstreams of an evacuated zone are out of service until the evacuation is deleted", async t => {
     const view = new ConfigView();
     const createUpstream = (name: string, zone: string, leaving: boolean): DeclaredObject => ({
         kind: "upstream",
@@ -47,7 +47,7 @@
     t.same(listInService(), ["u1", "u2"]);
 });
 
-void t.test("nothing older is ever taken", async t => {
+void t.test("an update of an older revision is not applied", async t => {
     const view = new ConfigView();
     view.apply(snapshot);
     t.notOk(view.apply({ ...snapshot, revision: 9, changes: [] }));
