--- a/test/domain/syncBeforeAnswer.test.ts
+++ b/test/domain/syncBeforeAnswer.test.ts
@@ -1,11 +1,11 @@
-/** Nothing is answered before what the answer rests on is synced: also not to a resend that finds it in memory already. */
+/** Guards against answering a request or its resend before the records that the answer depends on are synced. */
 import t from "tap";
 import type { UsageRecord } from "../../src/domain/billBook.js";
 import { IntentBook } from "../../src/domain/intentBook.js";
 import { Ledger, ShareSource } from "../../src/domain/ledger.js";
 import { FakeJournal } from "../tools/fakes.js";
 
-class FixedShare extends ShareSource {
+class FixedShareSource extends ShareSource {
     override getAllotted(): number {
         return 1_000;
     }
@@ -27,17 +27,17 @@
     at: 0,
 };
 
-/** Whether a promise has resolved once everything that needs no disk is done. */
-async function isAnswered(promise: Promise<unknown>): Promise<boolean> {
+/** Whether a promise resolves without a further journal sync. */
+async function isResolvedWithoutSync(promise: Promise<unknown>): Promise<boolean> {
     let answered = false;
     void promise.then(() => answered = true);
     await new Promise(resolve => setImmediate(resolve));
     return answered;
 }
 
-void t.test("a resent draw, usage record, return and top-up wait for the first one's sync", async t => {
+void t.test("resent draws, usage records, returns and top-ups wait until the original is synced", async t => {
     const journal = new FakeJournal(false);
-    const ledger = new Ledger("l#0", journal, new FixedShare());
+    const ledger = new Ledger("l#0", journal, new FixedShareSource());
     const topUp = {
         operationId: "o",
         operator: "x",
@@ -55,20 +55,20 @@
     for (const call of calls) {
         const first = call();
         const resent = call();
-        t.notOk(await isAnswered(first));
-        t.notOk(await isAnswered(resent));
+        t.notOk(await isResolvedWithoutSync(first));
+        t.notOk(await isResolvedWithoutSync(resent));
         journal.sync();
-        t.ok(await isAnswered(first));
-        t.ok(await isAnswered(resent));
+        t.ok(await isResolvedWithoutSync(first));
+        t.ok(await isResolvedWithoutSync(resent));
     }
 });
 
-void t.test("a resent intent waits for the first one's sync", async t => {
+void t.test("a resent intent waits until the original is synced", async t => {
     const journal = new FakeJournal(false);
     const intents = new IntentBook(journal);
     void intents.intend("a/1", { digest: "d", owner: "r1" });
     const resent = intents.intend("a/1", { digest: "d", owner: "r1" });
-    t.notOk(await isAnswered(resent));
+    t.notOk(await isResolvedWithoutSync(resent));
     journal.sync();
-    t.ok(await isAnswered(resent));
+    t.ok(await isResolvedWithoutSync(resent));
 });
--- a/test/tools/escrowReplica.ts
+++ b/test/tools/escrowReplica.ts
@@ -1,34 +1,32 @@
-/** One controller's copy of the log's budgets in the small world, which may lag. */
+/** A controller's replica of the budgets in the escrow simulation, which may lag behind the log. */
 import { BudgetBook } from "../../src/domain/budgetBook.js";
 import type { Command } from "../../src/domain/commands.js";
 import { ShareSource } from "../../src/domain/ledger.js";
 
-/** How far one controller has applied the log. */
-export class Replica extends ShareSource {
-    readonly book = new BudgetBook();
-    applied = 0;
+export class BudgetReplica extends ShareSource {
+    readonly budgets = new BudgetBook();
+    appliedIndex = 0;
 
     constructor(private readonly log: readonly Command[], public ledgerId: string) {
         super();
     }
 
     applyTo(index: number): void {
-        while (this.applied < index) {
-            applyCommand(this.book, this.log[this.applied]!);
-            this.applied += 1;
+        while (this.appliedIndex < index) {
+            applyCommand(this.budgets, this.log[this.appliedIndex]!);
+            this.appliedIndex += 1;
         }
     }
 
     override getAllotted(budget: string): number {
-        return this.book.tryGetShare(budget, this.ledgerId)?.allottedTotal ?? 0;
+        return this.budgets.tryGetShare(budget, this.ledgerId)?.allottedTotal ?? 0;
     }
 
     override hasTopUp(operationId: string): boolean {
-        return this.book.tryGetTopUp(operationId) !== undefined;
+        return this.budgets.tryGetTopUp(operationId) !== undefined;
     }
 }
 
-/** Applies a command of the log to a copy of the budgets. */
 export function applyCommand(book: BudgetBook, command: Command): void {
     switch (command.type) {
         case "registerLedger":
@@ -44,6 +42,6 @@
             book.applyReportShares(command);
             return;
         default:
-            throw new Error(`no ${command.type} in this world`);
+            throw new Error(`command type ${command.type} is not supported by the escrow simulation`);
     }
 }
--- a/test/tools/escrowWorld.ts
+++ b/test/tools/escrowWorld.ts
@@ -1,6 +1,6 @@
 /**
- * A small world of ledgers, routers and sidecars around the real ledger, grant and budget code: messages are lost,
- * doubled and late, processes crash, disks are lost. What was really consumed is counted apart from all books.
+ * Simulates controllers, routers and sidecars around the production ledger, grant and budget code, with lost, duplicated
+ * and delayed messages, crashes and lost disks. Counts the tokens consumed by runs independently of that code.
  */
 import type { ControllerContext } from "../../src/daemons/controller/fleetView.js";
 import { GrantCloser } from "../../src/daemons/controller/grantCloser.js";
@@ -13,15 +13,15 @@
 import type { LedgerEvent } from "../../src/domain/ledgerEvents.js";
 import { NoLog } from "../../src/ports/log.js";
 import type { CloseGrantAnswer } from "../../src/protocol/runMethods.js";
-import { applyCommand, Replica } from "./escrowReplica.js";
+import { applyCommand, BudgetReplica } from "./escrowReplica.js";
 import { FakeClock, FakeJournal, settlePromises } from "./fakes.js";
 
 const BUDGET = "budget";
-const GRANT_LIFE_MS = 100;
-const DRIFT_MS = 20;
+const GRANT_TTL_MS = 100;
+const CLOCK_DRIFT_MS = 20;
 
-/** Steps by their place in `step`, the common ones several times. Disks are lost rarely, messages mostly arrive. */
-const WEIGHTED = [
+/** Indexes of the steps in `runStep`. Repeated entries make a step more likely. */
+const WEIGHTED_STEPS = [
     0,
     1,
     1,
@@ -68,63 +68,64 @@
     21,
 ];
 
-interface WorldController {
+interface ControllerState {
     readonly name: string;
-    replica: Replica;
+    replica: BudgetReplica;
     journal: FakeJournal;
     ledger: Ledger;
+    /** Monotonic expiry time in milliseconds by grant id. */
     deadlines: Map<string, number>;
     incarnation: number;
 }
 
-interface WorldRun {
+interface RunState {
     readonly runId: string;
     readonly grant: string;
     readonly tokens: number;
-    readonly router: WorldRouter;
+    readonly router: RouterState;
     readonly reservation: Reservation;
 }
 
-interface WorldRouter {
+interface RouterState {
     readonly name: string;
-    book: GrantBook;
+    grants: GrantBook;
     generation: number;
 }
 
-interface WorldSidecar {
+interface SidecarState {
     readonly name: string;
     incarnation: number;
-    closed: Set<string>;
-    runs: WorldRun[];
-    outbox: UsageRecord[];
+    closedGrants: Set<string>;
+    runs: RunState[];
+    usageOutbox: UsageRecord[];
 }
 
-export class EscrowWorld {
+export class EscrowSimulation {
     readonly clock = new FakeClock();
     private readonly log: Command[] = [];
-    private readonly truth = new BudgetBook();
-    private readonly controllers: WorldController[] = [];
-    private readonly routers: WorldRouter[] = [];
-    private readonly sidecars: WorldSidecar[] = [];
+    private readonly committedBudgets = new BudgetBook();
+    private readonly controllers: ControllerState[] = [];
+    private readonly routers: RouterState[] = [];
+    private readonly sidecars: SidecarState[] = [];
     private messages: (() => void | Promise<void>)[] = [];
     private serial = 0;
-    /** Tokens really consumed by runs. */
-    consumed = 0;
+    /** Tokens consumed by runs, counted independently of the ledgers. */
+    consumedTokens = 0;
 
     constructor() {
         for (const name of ["a", "b"]) {
             this.controllers.push(this.createController(name));
         }
         for (const name of ["r1", "r2"]) {
-            this.routers.push({ name, book: this.createBook(name), generation: 0 });
+            this.routers.push({ name, grants: this.createGrantBook(name), generation: 0 });
         }
         for (const name of ["s1", "s2"]) {
-            this.sidecars.push({ name, incarnation: 0, closed: new Set(), runs: [], outbox: [] });
+            this.sidecars.push({ name, incarnation: 0, closedGrants: new Set(), runs: [], usageOutbox: [] });
         }
     }
 
-    /** A top-up and an allotment that have arrived everywhere, so that a world does not begin empty. */
-    async prime(): Promise<void> {
+    /** Commits and replicates a top-up and an allotment for each controller. */
+    async seedBudgets(): Promise<void> {
         for (const controller of this.controllers) {
             this.propose({
                 type: "creditTopUp",
@@ -142,49 +143,49 @@
         await settlePromises();
     }
 
-    /** Carries out one step, chosen by numbers. */
-    async step(operation: number, x: number, y: number, tokens: number): Promise<void> {
+    /** Runs the step selected by `operation`; `x` and `y` select the processes that take part. */
+    async runStep(operation: number, x: number, y: number, tokens: number): Promise<void> {
         const controller = this.controllers[x % 2]!;
         const router = this.routers[y % 2]!;
         const sidecar = this.sidecars[x % 2]!;
         const steps: (() => void | Promise<void>)[] = [
-            () => this.topUp(controller, tokens, y % 3),
-            () => this.draw(router, controller, tokens),
+            () => this.storeTopUp(controller, tokens, y % 3),
+            () => this.drawGrant(router, controller, tokens),
             () => this.startRun(router, sidecar, 1 + tokens % 40),
             () => this.endRun(sidecar, tokens),
-            () => this.flush(sidecar),
+            () => this.sendUsageRecords(sidecar),
             () => this.returnExpired(router),
             () => this.clock.advance(tokens),
             () => this.closeExpired(controller),
             () => this.crashController(controller),
             () => this.crashRouter(router),
             () => this.restartSidecar(sidecar, tokens),
-            () => this.deliver(tokens),
+            () => this.deliverMessage(tokens),
             () => undefined,
-            () => this.loseMessage(tokens),
-            () => this.doubleMessage(tokens),
-            () => this.giveBack(controller, tokens),
-            () => this.allot(controller, tokens),
-            () => controller.replica.applyTo(Math.min(this.log.length, controller.replica.applied + 1 + y % 3)),
+            () => this.dropMessage(tokens),
+            () => this.duplicateMessage(tokens),
+            () => this.returnFreeTokens(controller, tokens),
+            () => this.proposeAllotment(controller, tokens),
+            () => controller.replica.applyTo(Math.min(this.log.length, controller.replica.appliedIndex + 1 + y % 3)),
             () => controller.journal.sync(),
             () => this.loseDisk(controller),
-            () => this.resendTopUp(controller, tokens),
+            () => this.sendPendingTopUp(controller, tokens),
             () => controller.ledger.compact(),
         ];
-        await steps[WEIGHTED[operation % WEIGHTED.length]!]!();
+        await steps[WEIGHTED_STEPS[operation % WEIGHTED_STEPS.length]!]!();
         await settlePromises();
     }
 
-    /** What must hold after each step; answers what does not. */
+    /** Checks the invariants and describes the first violation, if any. */
     findViolation(): string | undefined {
-        const account = this.truth.tryGetBudget(BUDGET);
+        const account = this.committedBudgets.tryGetBudget(BUDGET);
         if (account !== undefined && !checkBudgetConservation(account)) {
-            return "the log's budget is not conserved";
+            return "replicated budget is not conserved";
         }
-        const localCredit = this.controllers.reduce((sum, controller) => sum + this.getLocalCredit(controller), 0);
+        const localCredit = this.controllers.reduce((sum, controller) => sum + this.sumLocalCredit(controller), 0);
         const toppedUp = (account?.toppedUp ?? 0) + localCredit;
-        if (this.consumed > toppedUp) {
-            return `overspent: ${this.consumed} of ${toppedUp}`;
+        if (this.consumedTokens > toppedUp) {
+            return `budget overspent: ${this.consumedTokens} tokens consumed of ${toppedUp} topped up`;
         }
         for (const controller of this.controllers) {
             if (!checkLedgerConservation(controller.ledger)) {
@@ -193,22 +194,22 @@
                 }`;
             }
             if (controller.ledger.overspent !== 0) {
-                return `ledger ${controller.ledger.id} overspent ${controller.ledger.overspent}`;
+                return `ledger ${controller.ledger.id} overspent its grants by ${controller.ledger.overspent} tokens`;
             }
         }
         return undefined;
     }
 
-    private getLocalCredit(controller: WorldController): number {
+    private sumLocalCredit(controller: ControllerState): number {
         return controller.ledger.getPendingTopUps()
-            .filter(topUp => topUp.spendable && this.truth.tryGetTopUp(topUp.operationId) === undefined)
+            .filter(topUp => topUp.spendable && this.committedBudgets.tryGetTopUp(topUp.operationId) === undefined)
             .reduce((sum, topUp) => sum + topUp.tokens, 0);
     }
 
-    private createController(name: string): WorldController {
+    private createController(name: string): ControllerState {
         const id = `${name}#0`;
         this.propose({ type: "registerLedger", controller: name, zone: name, ledger: id });
-        const replica = new Replica(this.log, id);
+        const replica = new BudgetReplica(this.log, id);
         const journal = new FakeJournal(false);
         return {
             name,
@@ -220,17 +221,17 @@
         };
     }
 
-    private createBook(router: string): GrantBook {
+    private createGrantBook(router: string): GrantBook {
         return new GrantBook(router, this.clock, () => undefined);
     }
 
     private propose(command: Command): void {
         this.log.push(command);
-        applyCommand(this.truth, command);
+        applyCommand(this.committedBudgets, command);
     }
 
-    /** Majority only, or spendable in the zone at once; the log learns of it by a message that may be lost and sent again. */
-    private async topUp(controller: WorldController, tokens: number, kind: number): Promise<void> {
+    /** Stores a top-up and sends it to the log. A `kind` of 0 makes it spendable before the log contains it. */
+    private async storeTopUp(controller: ControllerState, tokens: number, kind: number): Promise<void> {
         this.serial += 1;
         const operationId = `t${this.serial}`;
         const copies = kind === 0 ? "zoneWitness" as const : "majority" as const;
@@ -241,12 +242,12 @@
             void controller.ledger.markTopUpSpendable(operationId);
             controller.journal.sync();
         }
-        this.resendTopUp(controller, 0);
+        this.sendPendingTopUp(controller, 0);
     }
 
-    private resendTopUp(controller: WorldController, which: number): void {
+    private sendPendingTopUp(controller: ControllerState, selector: number): void {
         const pending = controller.ledger.getPendingTopUps();
-        const topUp = pending[which % Math.max(1, pending.length)];
+        const topUp = pending[selector % Math.max(1, pending.length)];
         if (topUp !== undefined) {
             const { operationId, budget, tokens } = topUp;
             const ledger = topUp.copies === "zoneWitness" ? { ledger: controller.ledger.id } : {};
@@ -264,14 +265,14 @@
         }
     }
 
-    private draw(router: WorldRouter, controller: WorldController, tokens: number): void {
+    private drawGrant(router: RouterState, controller: ControllerState, tokens: number): void {
         const { ledger, journal } = controller;
-        const record = controller.replica.book.tryGetLedger(ledger.id);
+        const record = controller.replica.budgets.tryGetLedger(ledger.id);
         if (record === undefined || record.sealed) {
             return;
         }
-        const grant = router.book.tryGetDrawable(BUDGET, ledger.id, 0)
-            ?? router.book.open(BUDGET, ledger.id, controller.name, GRANT_LIFE_MS);
+        const grant = router.grants.tryGetDrawable(BUDGET, ledger.id, 0)
+            ?? router.grants.open(BUDGET, ledger.id, controller.name, GRANT_TTL_MS);
         grant.drawSequence += 1;
         const sequence = grant.drawSequence;
         const generation = router.generation;
@@ -281,7 +282,7 @@
             }
             void ledger.draw(grant.id, router.name, BUDGET, sequence, 1, tokens).then(result => {
                 if (!controller.deadlines.has(grant.id)) {
-                    controller.deadlines.set(grant.id, this.clock.getMonotonicMs() + GRANT_LIFE_MS + DRIFT_MS);
+                    controller.deadlines.set(grant.id, this.clock.getMonotonicMs() + GRANT_TTL_MS + CLOCK_DRIFT_MS);
                 }
                 this.send(() => {
                     if (result.type === "granted" && router.generation === generation) {
@@ -293,37 +294,37 @@
         });
     }
 
-    private startRun(router: WorldRouter, sidecar: WorldSidecar, tokens: number): void {
-        const reservation = router.book.tryReserve(BUDGET, tokens);
+    private startRun(router: RouterState, sidecar: SidecarState, tokens: number): void {
+        const reservation = router.grants.tryReserve(BUDGET, tokens);
         if (reservation === undefined) {
             return;
         }
         this.serial += 1;
-        const run: WorldRun = { runId: `q${this.serial}#1`, grant: reservation.grant.id, tokens, router, reservation };
-        if (!reservation.isUsable(this.clock.getMonotonicMs()) || sidecar.closed.has(run.grant)) {
+        const run: RunState = { runId: `q${this.serial}#1`, grant: reservation.grant.id, tokens, router, reservation };
+        if (!reservation.isUsable(this.clock.getMonotonicMs()) || sidecar.closedGrants.has(run.grant)) {
             reservation.settle(0);
             return;
         }
         sidecar.runs.push(run);
     }
 
-    private endRun(sidecar: WorldSidecar, tokens: number): void {
+    private endRun(sidecar: SidecarState, tokens: number): void {
         const run = sidecar.runs.shift();
         if (run === undefined) {
             return;
         }
-        const used = tokens % (run.tokens + 1);
-        this.consumed += used;
-        sidecar.outbox.push(this.createRecord(run, used));
+        const usedTokens = tokens % (run.tokens + 1);
+        this.consumedTokens += usedTokens;
+        sidecar.usageOutbox.push(this.createUsageRecord(run, usedTokens));
         const generation = run.router.generation;
         this.send(() => {
             if (run.router.generation === generation) {
-                run.reservation.settle(used);
+                run.reservation.settle(usedTokens);
             }
         });
     }
 
-    private createRecord(run: WorldRun, tokens: number): UsageRecord {
+    private createUsageRecord(run: RunState, tokens: number): UsageRecord {
         return {
             requestId: run.runId.split("#")[0]!,
             runId: run.runId,
@@ -338,9 +339,9 @@
         };
     }
 
-    private flush(sidecar: WorldSidecar): void {
+    private sendUsageRecords(sidecar: SidecarState): void {
         const incarnation = sidecar.incarnation;
-        for (const record of sidecar.outbox) {
+        for (const record of sidecar.usageOutbox) {
             const controller = this.controllers.find(candidate =>
                 getGrantLedger(record.grant).startsWith(`${candidate.name}#`)
             )!;
@@ -348,7 +349,7 @@
                 void controller.ledger.recordUsage(record).then(() => {
                     this.send(() => {
                         if (sidecar.incarnation === incarnation) {
-                            sidecar.outbox = sidecar.outbox.filter(other => other !== record);
+                            sidecar.usageOutbox = sidecar.usageOutbox.filter(other => other !== record);
                         }
                     });
                 });
@@ -356,9 +357,9 @@
         }
     }
 
-    private returnExpired(router: WorldRouter): void {
+    private returnExpired(router: RouterState): void {
         const now = this.clock.getMonotonicMs();
-        for (const grant of router.book.getAll().filter(candidate => now >= candidate.expiresAt)) {
+        for (const grant of router.grants.getAll().filter(candidate => now >= candidate.expiresAt)) {
             grant.returned += getGrantFree(grant);
             const controller = this.controllers.find(candidate => candidate.name === grant.controller)!;
             const returned = grant.returned;
@@ -366,8 +367,8 @@
         }
     }
 
-    /** The real closer, over sidecars that answer at once or not at all. */
-    private async closeExpired(controller: WorldController): Promise<void> {
+    /** Runs the production grant closer against sidecars that respond immediately. */
+    private async closeExpired(controller: ControllerState): Promise<void> {
         const upstreams = this.sidecars.map(sidecar => ({
             name: sidecar.name,
             spec: { sidecar: sidecar.name, box: sidecar.name, zone: "z" },
@@ -375,13 +376,13 @@
         const network = {
             call: (address: string, _method: unknown, params: { grants: string[]; }): Promise<CloseGrantAnswer> => {
                 const sidecar = this.sidecars.find(candidate => candidate.name === address)!;
-                params.grants.forEach(grant => sidecar.closed.add(grant));
+                params.grants.forEach(grant => sidecar.closedGrants.add(grant));
                 const asked = new Set(params.grants);
                 return Promise.resolve({
                     box: sidecar.name,
                     incarnation: String(sidecar.incarnation),
                     active: sidecar.runs.map(run => run.grant).filter(grant => asked.has(grant)),
-                    records: sidecar.outbox.filter(record => asked.has(record.grant)),
+                    records: sidecar.usageOutbox.filter(record => asked.has(record.grant)),
                 });
             },
         };
@@ -403,54 +404,54 @@
         await closing;
     }
 
-    private isExpired(controller: WorldController, grant: string): boolean {
+    private isExpired(controller: ControllerState, grant: string): boolean {
         const deadline = controller.deadlines.get(grant);
         if (deadline === undefined) {
-            controller.deadlines.set(grant, this.clock.getMonotonicMs() + GRANT_LIFE_MS + DRIFT_MS);
+            controller.deadlines.set(grant, this.clock.getMonotonicMs() + GRANT_TTL_MS + CLOCK_DRIFT_MS);
             return false;
         }
         return this.clock.getMonotonicMs() > deadline;
     }
 
-    private crashController(controller: WorldController): void {
+    private crashController(controller: ControllerState): void {
         const records = controller.journal.crash() as LedgerEvent[];
         controller.ledger = new Ledger(controller.ledger.id, controller.journal, controller.replica, records);
         controller.deadlines = new Map();
     }
 
-    /** An empty disk: a new incarnation, which works once the log has sealed the old one. */
-    private loseDisk(controller: WorldController): void {
-        if (controller.incarnation >= 2 || this.getLocalCredit(controller) > 0) {
+    /** Replaces the disk with an empty one, which starts a new incarnation and seals the previous one. */
+    private loseDisk(controller: ControllerState): void {
+        if (controller.incarnation >= 2 || this.sumLocalCredit(controller) > 0) {
             return;
         }
         controller.incarnation += 1;
         const id = `${controller.name}#${controller.incarnation}`;
         this.propose({ type: "registerLedger", controller: controller.name, zone: controller.name, ledger: id });
-        controller.replica = new Replica(this.log, id);
+        controller.replica = new BudgetReplica(this.log, id);
         controller.journal = new FakeJournal(false);
         controller.ledger = new Ledger(id, controller.journal, controller.replica);
         controller.deadlines = new Map();
     }
 
-    private crashRouter(router: WorldRouter): void {
+    private crashRouter(router: RouterState): void {
         router.generation += 1;
-        router.book = this.createBook(router.name);
+        router.grants = this.createGrantBook(router.name);
     }
 
-    /** What its runs had consumed is really consumed; its records are gone, and its routers hold what they reserved. */
-    private restartSidecar(sidecar: WorldSidecar, tokens: number): void {
+    /** Counts what the sidecar's runs consumed, loses its usage records and puts the runs' reservations on hold. */
+    private restartSidecar(sidecar: SidecarState, tokens: number): void {
         for (const run of sidecar.runs) {
-            const used = tokens % (run.tokens + 1);
-            this.consumed += used;
+            const usedTokens = tokens % (run.tokens + 1);
+            this.consumedTokens += usedTokens;
             run.reservation.hold(0);
         }
         sidecar.runs = [];
-        sidecar.outbox = [];
-        sidecar.closed = new Set();
+        sidecar.usageOutbox = [];
+        sidecar.closedGrants = new Set();
         sidecar.incarnation += 1;
     }
 
-    private giveBack(controller: WorldController, tokens: number): void {
+    private returnFreeTokens(controller: ControllerState, tokens: number): void {
         const { ledger } = controller;
         void ledger.giveBack(BUDGET, tokens).then(() => {
             const balance = ledger.getBalance(BUDGET);
@@ -465,9 +466,9 @@
         });
     }
 
-    private allot(controller: WorldController, tokens: number): void {
+    private proposeAllotment(controller: ControllerState, tokens: number): void {
         const ledger = controller.ledger.id;
-        const sequence = (controller.replica.book.tryGetShare(BUDGET, ledger)?.allotSequence ?? 0) + 1;
+        const sequence = (controller.replica.budgets.tryGetShare(BUDGET, ledger)?.allotSequence ?? 0) + 1;
         this.send(() => this.propose({ type: "allot", ledger, budget: BUDGET, sequence, tokens: tokens + 1 }));
     }
 
@@ -475,21 +476,21 @@
         this.messages.push(message);
     }
 
-    private async deliver(which: number): Promise<void> {
+    private async deliverMessage(selector: number): Promise<void> {
         if (this.messages.length > 0) {
-            await this.messages.splice(which % this.messages.length, 1)[0]!();
+            await this.messages.splice(selector % this.messages.length, 1)[0]!();
         }
     }
 
-    private loseMessage(which: number): void {
+    private dropMessage(selector: number): void {
         if (this.messages.length > 0) {
-            this.messages.splice(which % this.messages.length, 1);
+            this.messages.splice(selector % this.messages.length, 1);
         }
     }
 
-    private async doubleMessage(which: number): Promise<void> {
+    private async duplicateMessage(selector: number): Promise<void> {
         if (this.messages.length > 0) {
-            await this.messages[which % this.messages.length]!();
+            await this.messages[selector % this.messages.length]!();
         }
     }
 }
