--- a/src/domain/upstreamChanges.ts
+++ b/src/domain/upstreamChanges.ts
@@ -1,25 +1,25 @@
 /**
- * Numbers the changes of a controller's registry, so that a router is told what has changed since it last asked, and of all
- * the others only which have not been heard lately. A list of all upstreams to each router each second grows with the one
- * times the other: 19 MB a second at a controller of 300 routers and 3,004 upstreams (sweep of one deployment).
+ * Numbers the changes of a controller's registry, so that a router receives only the changes since its last request and
+ * the upstreams that have not reported recently. Sending the full list to each router every second would cost traffic
+ * proportional to routers times upstreams.
  */
 import type { HeardRegistration, UpstreamRegistry } from "./upstreamRegistry.js";
 
-/** How far a router has been told. */
+/** Position up to which a router has received changes. */
 export interface ChangeCursor {
-    /** New at each start of the controller, and where it has forgotten an upstream that fell silent: all is told anew then. */
+    /** Changes when the controller restarts or evicts a silent upstream. A full list is sent then. */
     readonly epoch: string;
-    /** Of the newest change that was told. */
+    /** Number of the last change that was sent. */
     readonly number: number;
 }
 
-/** What is told since a cursor. */
+/** Changes since a cursor. */
 export interface UpstreamNews {
     readonly cursor: ChangeCursor;
-    /** Everything that is known is told, because the cursor was of another start, or there was none. */
+    /** Whether `changed` is the full list, because there was no cursor or its epoch differs. */
     readonly isWhole: boolean;
     readonly changed: readonly HeardRegistration[];
-    /** Upstreams that have not been heard for as long as was asked, whether they are told or not. */
+    /** Upstreams that have not reported within the requested time, whether or not they are in `changed`. */
     readonly unheard: readonly UnheardUpstream[];
 }
 
@@ -29,44 +29,50 @@
 }
 
 export class UpstreamChanges {
-    private newest = 0;
-    /** How often upstreams were forgotten that had fallen silent. */
-    private forgotten = 0;
-    /** The newest change of each upstream, by its id. */
-    private readonly numbers = new Map<string, number>();
+    private latestNumber = 0;
+    /** Number of evictions that removed silent upstreams. */
+    private silentEvictions = 0;
+    /** Number of the last change of each upstream, keyed by its id. */
+    private readonly changeNumbers = new Map<string, number>();
 
-    /** `start`: names this start of the controller. */
-    constructor(private readonly registry: UpstreamRegistry, private readonly start: string) {}
+    /** `startId`: identifies this run of the controller. */
+    constructor(private readonly registry: UpstreamRegistry, private readonly startId: string) {}
 
-    /** Notes that routers have to hear of an upstream. */
+    /** Records that an upstream changed and has to be sent to routers. */
     note(id: string): void {
-        this.newest += 1;
-        this.numbers.set(id, this.newest);
+        this.latestNumber += 1;
+        this.changeNumbers.set(id, this.latestNumber);
     }
 
-    /** `unheardMs`: silence from which an upstream counts as unheard. `now`: monotonic clock, milliseconds. */
+    /**
+     * `unheardMs`: time without a report after which an upstream counts as unheard. `now`: monotonic clock,
+     * milliseconds.
+     */
     createNews(since: ChangeCursor | undefined, unheardMs: number, now: number): UpstreamNews {
         this.forgetOld(now);
         const all = this.registry.list(now);
-        const epoch = `${this.start}.${this.forgotten}`;
-        const isWhole = since === undefined || since.epoch !== epoch || since.number > this.newest;
+        const epoch = `${this.startId}.${this.silentEvictions}`;
+        const isWhole = since === undefined || since.epoch !== epoch || since.number > this.latestNumber;
         const changed = isWhole
             ? all
-            : all.filter(({ registration }) => (this.numbers.get(registration.id) ?? 0) > since.number);
+            : all.filter(({ registration }) => (this.changeNumbers.get(registration.id) ?? 0) > since.number);
         const unheard = all
             .filter(({ registration, ageMs }) => ageMs > unheardMs && registration.state !== "gone")
             .map(({ registration, ageMs }) => ({ id: registration.id, ageMs }));
-        return { cursor: { epoch, number: this.newest }, isWhole, changed, unheard };
+        return { cursor: { epoch, number: this.latestNumber }, isWhole, changed, unheard };
     }
 
-    /** What has long been gone or silent. A router that goes by news would take one that is named no more for heard. */
+    /**
+     * Evicts expired upstreams. Evicting a silent one starts a new epoch: a router that receives only changes would
+     * take an upstream that is no longer listed as unheard for one that still reports.
+     */
     forgetOld(now: number): void {
         if (this.registry.forgetOld(now)) {
-            this.forgotten += 1;
+            this.silentEvictions += 1;
         }
-        for (const id of this.numbers.keys()) {
+        for (const id of this.changeNumbers.keys()) {
             if (this.registry.tryGet(id) === undefined) {
-                this.numbers.delete(id);
+                this.changeNumbers.delete(id);
             }
         }
     }
--- a/src/domain/upstreamRegistry.ts
+++ b/src/domain/upstreamRegistry.ts
@@ -1,161 +1,182 @@
 /**
- * The upstreams that have registered themselves, as one process knows them. Reports come late and out of order, and an
- * upstream may start again under its id: then it counts its reports anew and knows nothing of before. Without telling its
- * lives apart it would be out of service until its count has passed the old one, or for as long as its end is remembered.
+ * The upstreams that have registered themselves, as known to one process. Reports may arrive late and out of order. An
+ * upstream that restarts under the same id begins a new incarnation with new sequence numbers; if incarnations were not
+ * distinguished, it would be out of service until its sequence number exceeds the previous one, or until the record of
+ * its end expires.
  */
 
-/** What an upstream says of itself. */
+/** An upstream's report of itself. */
 export interface UpstreamRegistration {
     readonly id: string;
     /**
-     * When this life of the upstream began, by its own clock, in milliseconds since 1970. Undefined where it is not told:
-     * then a report belongs to the life that is known.
+     * When this incarnation started, by the upstream's clock, in milliseconds since 1970. If undefined, a report
+     * belongs to the known incarnation.
      */
     readonly bornAt?: number | undefined;
     readonly service: string;
-    /** HOST:PORT; may belong to another upstream later. */
+    /** HOST:PORT; may be reused by another upstream later. */
     readonly address: string;
     readonly zone: string;
-    /** Requests that it works on at once. */
+    /** Requests that it processes concurrently. */
     readonly slots: number;
-    /** `leaving`: it takes no new work. `gone`: this life of it will not come back. */
+    /** `leaving`: it accepts no new work. `gone`: this incarnation has ended. */
     readonly state: "ready" | "leaving" | "gone";
-    /** Rises with each report of one life. */
+    /** Increases with each report of an incarnation. */
     readonly sequence: number;
-    /** How much longer it stays cold, in milliseconds: it bears few requests for some seconds after a start. */
+    /** Remaining time of the cold period after a start, in which it accepts few requests. Milliseconds. */
     readonly coldLeftMs?: number | undefined;
     /**
-     * Of one that is gone: the end may have been an earlier life's, which came late, since it named no life; a newer report
-     * of this life shows that it goes on.
+     * If gone: the end may have been that of an earlier incarnation, because the message named none. A newer report of
+     * this incarnation revokes it.
      */
     readonly mayReturn?: boolean | undefined;
-    /** It said in an answer that it leaves; its reports, which come late or not at all, may call it ready long after that. */
+    /**
+     * It announced in an answer that it is leaving. Takes precedence over reports, which may arrive late and still call
+     * it ready.
+     */
     readonly isLeavingSaid?: boolean | undefined;
-    /** Of one that is gone: another upstream was met at its address, whatever it has reported until then. */
+    /** If gone: another upstream answered at its address, whatever its reports say. */
     readonly isReplaced?: boolean | undefined;
 }
 
-/** What an upstream last said of the requests that it takes from all routers together. */
+/** Rate limit that an upstream last named, for all routers together. */
 export interface HeardLimit {
-    /** Requests a second; undefined where it named no limit any more. */
+    /** Requests per second; undefined if the limit has ended. */
     readonly perSecond?: number | undefined;
     readonly ageMs: number;
 }
 
-/** A registration and how long ago it was heard. */
+/** A registration and the time since its last report. */
 export interface HeardRegistration {
     readonly registration: UpstreamRegistration;
     readonly ageMs: number;
-    /** Left out where the upstream has never named a limit in this life. */
+    /** Undefined if this incarnation has never named a limit. */
     readonly limit?: HeardLimit | undefined;
 }
 
-/** One life of an upstream. */
+/** Identifies one incarnation of an upstream. */
 export type UpstreamLife = Pick<UpstreamRegistration, "id" | "bornAt">;
 
-/** Names one life of an upstream among all of all upstreams: what is believed of an upstream ends with its life. */
+/**
+ * Returns a key that is unique among the incarnations of all upstreams. State that is kept under it does not outlive
+ * the incarnation.
+ */
 export function getLifeKey({ id, bornAt }: UpstreamLife): string {
     return bornAt === undefined ? id : `${id}@${bornAt}`;
 }
 
-/** Times on the monotonic clock, milliseconds. */
+/** What is known of the latest incarnation of an upstream. Times are on the monotonic clock, in milliseconds. */
 interface Entry {
     registration: UpstreamRegistration;
     heardAt: number;
-    /** Until when it is cold by its own word; undefined where it says nothing of it. */
+    /** End of the cold period that it reported; undefined if it reports none. */
     coldUntil: number | undefined;
-    /** When its life was first heard of. */
+    /** When this incarnation was first heard of. */
     readonly lifeHeardAt: number;
-    /** The id has had an earlier life. */
+    /** Whether an earlier incarnation of the id is known. */
     readonly hasEarlierLife: boolean;
-    /** Requests a second that it takes from all routers together; undefined where it names no limit. */
+    /** Requests per second that it accepts from all routers; undefined if it names no limit. */
     limitPerSecond: number | undefined;
-    /** When it last said whether it has a limit; -Infinity where it has never named one. */
+    /** When it last reported its limit or the absence of one; -Infinity if it has never named one. */
     limitSaidAt: number;
 }
 
-/** How long an upstream that is gone is remembered, so that a late report does not bring it back. Milliseconds. */
-const KEEP_GONE_MS = 60_000;
-/** How long one that says nothing is remembered: longer than any cut between it and the controllers. Milliseconds. */
-const KEEP_SILENT_MS = 600_000;
+/** How long an upstream that is gone is kept, so that a late report does not revive it. Milliseconds. */
+const GONE_RETENTION_MS = 60_000;
+/** How long a silent upstream is kept: longer than a network partition between it and the controllers. Milliseconds. */
+const SILENT_RETENTION_MS = 600_000;
 /**
- * How long the holder of an address keeps it against one that was known before, in milliseconds: reports come every second
- * or so, so one that is silent for longer has probably ended.
+ * How long the owner of an address has to be silent before a known upstream can claim it, in milliseconds. Reports are
+ * sent about every second, so that a longer silence suggests that the owner has ended.
  */
-const HOLD_ADDRESS_MS = 3_000;
-/** A limit counts as another one from this part of change on: one that falls and rises all the time is not told each time. */
-const LEAST_LIMIT_CHANGE = 0.1;
-/** By how much longer an upstream has to be cold than it said before for routers to be told: its reports come late. Milliseconds. */
-const LEAST_COLDER_MS = 500;
-/** How late a message of an upstream may come, in milliseconds: cuts hold messages back for up to 9 s. */
-const MOST_LATE_MS = 10_000;
+const MIN_OWNER_SILENCE_MS = 3_000;
+/** Minimum relative change of a limit that is forwarded, so that a fluctuating limit is not sent each time. */
+const MIN_RELATIVE_LIMIT_CHANGE = 0.1;
+/**
+ * Minimum extension of the cold period that routers are notified of, since reports arrive with varying delay.
+ * Milliseconds.
+ */
+const MIN_COLD_EXTENSION_MS = 500;
+/** Maximum delay of an upstream's message, in milliseconds: a network partition may delay messages by up to 9 s. */
+const MAX_MESSAGE_DELAY_MS = 10_000;
 
 export class UpstreamRegistry {
     private readonly entries = new Map<string, Entry>();
-    /** Which upstream is at an address: one that has ended may still be heard of after another has taken its place. */
-    private readonly holders = new Map<string, string>();
+    /**
+     * Id of the upstream that is reachable at an address: reports of one that has ended may arrive after another has
+     * taken over its address.
+     */
+    private readonly addressOwners = new Map<string, string>();
 
     /**
-     * Takes a report that was heard at `heardAt`. Answers what it changed: `state` where routing is affected, `beat`
-     * where it only shows that the upstream lives, undefined where it is older than what is known.
+     * Records a report that was received at `heardAt`. Returns `state` if it affects routing, `beat` if it only shows
+     * that the upstream is alive, and undefined if it is outdated.
      */
     record(registration: UpstreamRegistration, heardAt: number): "state" | "beat" | undefined {
         const known = this.entries.get(registration.id);
-        if (known === undefined || isLaterLife(registration, known, heardAt)) {
-            const hasEarlierLife = known !== undefined;
+        if (known === undefined || isLaterIncarnation(registration, known, heardAt)) {
+            const hasEarlierIncarnation = known !== undefined;
             const coldUntil = tryGetColdUntil(registration, heardAt);
             this.entries.set(registration.id, {
                 registration,
                 heardAt,
                 coldUntil,
                 lifeHeardAt: heardAt,
-                hasEarlierLife,
+                hasEarlierLife: hasEarlierIncarnation,
                 limitPerSecond: undefined,
                 limitSaidAt: -Infinity,
             });
-            this.tryTakeAddress(registration, heardAt, 0);
+            this.tryClaimAddress(registration, heardAt, 0);
             return "state";
         }
-        if (isEarlierLife(registration, known.registration)) {
+        if (isEarlierIncarnation(registration, known.registration)) {
             return undefined;
         }
-        return this.recordSameLife(known, registration, heardAt);
+        return this.recordSameIncarnation(known, registration, heardAt);
     }
 
-    private recordSameLife(known: Entry, told: UpstreamRegistration, heardAt: number): "state" | "beat" | undefined {
-        if (!isNews(told, known.registration)) {
+    private recordSameIncarnation(
+        known: Entry,
+        report: UpstreamRegistration,
+        heardAt: number,
+    ): "state" | "beat" | undefined {
+        if (!isNewInformation(report, known.registration)) {
             return undefined;
         }
-        const registration = mergeReports(told, known.registration);
+        const registration = mergeReports(report, known.registration);
         const changed = known.registration.state !== registration.state
             || known.registration.address !== registration.address
             || known.registration.slots !== registration.slots
-            || hasTurnedCold(registration, known, heardAt);
+            || hasColdPeriodExtended(registration, known, heardAt);
         known.registration = registration;
         known.heardAt = Math.max(known.heardAt, heardAt);
         known.coldUntil = tryGetColdUntil(registration, heardAt);
-        const hasTakenAddress = this.tryTakeAddress(registration, heardAt, HOLD_ADDRESS_MS);
-        return changed || hasTakenAddress ? "state" : "beat";
+        const hasClaimedAddress = this.tryClaimAddress(registration, heardAt, MIN_OWNER_SILENCE_MS);
+        return changed || hasClaimedAddress ? "state" : "beat";
     }
 
-    /** Gives an upstream its address where the holder has been silent for `silentMs` or longer. */
-    private tryTakeAddress({ id, address, state }: UpstreamRegistration, heardAt: number, silentMs: number): boolean {
-        const holder = this.holders.get(address);
-        if (holder === id || state === "gone") {
+    /** Assigns an upstream its address if the current owner has been silent for at least `minSilenceMs`. */
+    private tryClaimAddress(
+        { id, address, state }: UpstreamRegistration,
+        heardAt: number,
+        minSilenceMs: number,
+    ): boolean {
+        const ownerId = this.addressOwners.get(address);
+        if (ownerId === id || state === "gone") {
             return false;
         }
-        const held = holder === undefined ? undefined : this.entries.get(holder);
-        const isHeld = held !== undefined && held.registration.state !== "gone";
-        if (isHeld && heardAt - held.heardAt < silentMs) {
+        const owner = ownerId === undefined ? undefined : this.entries.get(ownerId);
+        const isOwned = owner !== undefined && owner.registration.state !== "gone";
+        if (isOwned && heardAt - owner.heardAt < minSilenceMs) {
             return false;
         }
-        this.holders.set(address, id);
+        this.addressOwners.set(address, id);
         return true;
     }
 
     /**
-     * Marks an upstream as gone; answers the registration to tell others, undefined where an earlier life's end came late.
-     * `bornAt`: the life that has ended; undefined where it is not told.
+     * Marks an upstream as gone. Returns the registration to forward; undefined if the end is that of an earlier
+     * incarnation. `bornAt`: start of the incarnation that has ended; undefined if unknown.
      */
     recordGone(id: string, heardAt: number, bornAt?: number): UpstreamRegistration | undefined {
         const entry = this.entries.get(id);
@@ -169,57 +190,57 @@
             slots: known?.slots ?? 0,
             state: "gone",
             sequence: known?.sequence ?? 0,
-            mayReturn: bornAt === undefined && entry !== undefined && isEndDoubtful(entry, heardAt),
+            mayReturn: bornAt === undefined && entry !== undefined && isEndAmbiguous(entry, heardAt),
         };
         return this.record(gone, heardAt) === undefined && known?.state !== "gone" ? undefined : gone;
     }
 
     /**
-     * Notes that a controller heard an upstream at `heardAt`, whose report changed nothing. An upstream whose address was taken
-     * by one that is silent since has it again.
+     * Records that a controller received a report at `heardAt` that changed nothing. The upstream reclaims its address
+     * if another upstream has claimed it and been silent since.
      */
     noteHeard(id: string, heardAt: number): void {
         const entry = this.entries.get(id);
         if (entry !== undefined && entry.registration.state !== "gone") {
             entry.heardAt = Math.max(entry.heardAt, heardAt);
-            this.tryTakeAddress(entry.registration, entry.heardAt, HOLD_ADDRESS_MS);
+            this.tryClaimAddress(entry.registration, entry.heardAt, MIN_OWNER_SILENCE_MS);
         }
     }
 
-    /** Forgets what has long been gone or silent. Answers whether any of it was not known to be gone. */
+    /** Evicts upstreams that have long been gone or silent. Returns whether a silent one was evicted. */
     forgetOld(now: number): boolean {
-        let hasForgottenSilent = false;
+        let hasEvictedSilent = false;
         for (const [id, { registration, heardAt }] of this.entries) {
-            const keepMs = registration.state === "gone" ? KEEP_GONE_MS : KEEP_SILENT_MS;
-            if (now - heardAt > keepMs) {
+            const retentionMs = registration.state === "gone" ? GONE_RETENTION_MS : SILENT_RETENTION_MS;
+            if (now - heardAt > retentionMs) {
                 this.entries.delete(id);
-                hasForgottenSilent ||= registration.state !== "gone";
-                if (this.holders.get(registration.address) === id) {
-                    this.holders.delete(registration.address);
+                hasEvictedSilent ||= registration.state !== "gone";
+                if (this.addressOwners.get(registration.address) === id) {
+                    this.addressOwners.delete(registration.address);
                 }
             }
         }
-        return hasForgottenSilent;
+        return hasEvictedSilent;
     }
 
-    /** Everything known, with its age at `now`. */
+    /** Returns all upstreams with their age at `now`. */
     list(now: number): HeardRegistration[] {
         return [...this.entries.values()].map(entry => createHeard(entry, now));
     }
 
-    /** What is known of an upstream, with its age at `now`; undefined where it is forgotten, or another life has begun. */
-    tryGetHeard(life: UpstreamLife, now: number): HeardRegistration | undefined {
-        const entry = this.tryGetEntry(life);
+    /** Returns an upstream with its age at `now`; undefined if it was evicted or has a newer incarnation. */
+    tryGetHeard(incarnation: UpstreamLife, now: number): HeardRegistration | undefined {
+        const entry = this.tryGetEntry(incarnation);
         return entry === undefined ? undefined : createHeard(entry, now);
     }
 
-    /** The upstreams of a service that hold their address, take new work and were heard within `maxAgeMs`. */
+    /** Returns the upstreams of a service that own their address, accept new work and reported within `maxAgeMs`. */
     getReady(service: string, now: number, maxAgeMs: number): UpstreamRegistration[] {
         const ready: UpstreamRegistration[] = [];
         for (const { registration, heardAt } of this.entries.values()) {
             const isReady = registration.service === service && registration.state === "ready";
-            const isHolder = this.holders.get(registration.address) === registration.id;
-            if (isReady && isHolder && now - heardAt <= maxAgeMs) {
+            const isAddressOwner = this.addressOwners.get(registration.address) === registration.id;
+            if (isReady && isAddressOwner && now - heardAt <= maxAgeMs) {
                 ready.push(registration);
             }
         }
@@ -227,9 +248,8 @@
     }
 
     /**
-     * Marks a life of an upstream as over because another upstream was met at its address; only a report of it that is newer
-     * than all that were heard shows that it goes on. Answers the registration to tell others, undefined where it was known
-     * to be over.
+     * Marks an incarnation as gone because another upstream answered at its address. Only a report newer than all
+     * received ones revokes that. Returns the registration to forward; undefined if it was known to be gone.
      */
     recordReplaced(registration: UpstreamRegistration, heardAt: number): UpstreamRegistration | undefined {
         const gone: UpstreamRegistration = {
@@ -242,8 +262,8 @@
     }
 
     /**
-     * Until when an upstream is cold. Where it does not say, for `coldStartMs` from when its life was first heard of.
-     * Monotonic clock.
+     * Returns the end of an upstream's cold period. If it reports none, `coldStartMs` after its incarnation was first
+     * heard of. Monotonic clock.
      */
     getColdUntil({ id }: UpstreamRegistration, coldStartMs: number): number {
         const entry = this.entries.get(id);
@@ -251,134 +271,154 @@
     }
 
     /**
-     * Takes what an upstream said at `saidAt` of its limit. Answers whether that is another limit than was known; what was
-     * said earlier than what is known is left alone.
+     * Records the limit that an upstream named at `reportedAt`, or its absence. Returns whether the limit changed; a
+     * statement older than the known one is ignored.
      */
-    recordLimit(life: UpstreamLife, perSecond: number | undefined, saidAt: number): boolean {
-        const entry = this.tryGetEntry(life);
-        if (entry === undefined || saidAt < entry.limitSaidAt) {
+    recordLimit(incarnation: UpstreamLife, perSecond: number | undefined, reportedAt: number): boolean {
+        const entry = this.tryGetEntry(incarnation);
+        if (entry === undefined || reportedAt < entry.limitSaidAt) {
             return false;
         }
-        entry.limitSaidAt = saidAt;
-        if (!isOtherLimit(perSecond, entry.limitPerSecond)) {
+        entry.limitSaidAt = reportedAt;
+        if (!hasLimitChanged(perSecond, entry.limitPerSecond)) {
             return false;
         }
         entry.limitPerSecond = perSecond;
         return true;
     }
 
-    /** Requests a second that an upstream takes from all routers together; undefined where it names no limit. */
-    tryGetLimit(life: UpstreamLife): number | undefined {
-        return this.tryGetEntry(life)?.limitPerSecond;
+    /** Returns the requests per second that an upstream accepts from all routers; undefined if it names no limit. */
+    tryGetLimit(incarnation: UpstreamLife): number | undefined {
+        return this.tryGetEntry(incarnation)?.limitPerSecond;
     }
 
-    /** Upstreams that name a limit and are not gone. */
+    /** Counts the upstreams that name a limit and are not gone. */
     countLimited(): number {
         const entries = [...this.entries.values()];
         return entries.filter(entry => entry.limitPerSecond !== undefined && entry.registration.state !== "gone")
             .length;
     }
 
-    /** Upstreams that leave, by their reports or by an answer. */
+    /** Counts the upstreams that are leaving, by their reports or by an answer. */
     countLeaving(): number {
         return [...this.entries.values()].filter(({ registration }) => registration.state === "leaving").length;
     }
 
-    /** When an upstream last said whether it has a limit; -Infinity where it has never named one. Monotonic clock. */
-    getLimitSaidAt(life: UpstreamLife): number {
-        return this.tryGetEntry(life)?.limitSaidAt ?? -Infinity;
+    /**
+     * Returns when an upstream last reported its limit or the absence of one; -Infinity if it has never named one.
+     * Monotonic clock.
+     */
+    getLimitSaidAt(incarnation: UpstreamLife): number {
+        return this.tryGetEntry(incarnation)?.limitSaidAt ?? -Infinity;
     }
 
-    /** Notes that an upstream said in an answer that it leaves. Answers whether that is news. */
-    recordLeaving(life: UpstreamLife, heardAt: number): boolean {
-        const known = this.tryGetEntry(life)?.registration;
+    /** Records that an upstream announced in an answer that it is leaving. Returns whether that was unknown. */
+    recordLeaving(incarnation: UpstreamLife, heardAt: number): boolean {
+        const known = this.tryGetEntry(incarnation)?.registration;
         return known !== undefined && known.state !== "gone"
             && this.record({ ...known, isLeavingSaid: true }, heardAt) === "state";
     }
 
-    /** What is known now of the same life of an upstream; `registration` itself where that is forgotten, or another has begun. */
+    /**
+     * Returns the latest registration of the same incarnation; `registration` itself if that was evicted or has been
+     * superseded.
+     */
     getNewest(registration: UpstreamRegistration): UpstreamRegistration {
         return this.tryGetEntry(registration)?.registration ?? registration;
     }
 
-    /** Undefined where the life is forgotten, or another has begun. */
-    private tryGetEntry(life: UpstreamLife): Entry | undefined {
-        const entry = this.entries.get(life.id);
-        return entry !== undefined && entry.registration.bornAt === life.bornAt ? entry : undefined;
+    /** Returns undefined if the incarnation was evicted or has been superseded. */
+    private tryGetEntry(incarnation: UpstreamLife): Entry | undefined {
+        const entry = this.entries.get(incarnation.id);
+        return entry !== undefined && entry.registration.bornAt === incarnation.bornAt ? entry : undefined;
     }
 
-    /** What an upstream last said of itself, also where it is gone. */
+    /** Returns the latest registration of an upstream, even if it is gone. */
     tryGet(id: string): UpstreamRegistration | undefined {
         return this.entries.get(id)?.registration;
     }
 }
 
-function createHeard({ registration, heardAt, limitPerSecond, limitSaidAt }: Entry, now: number): HeardRegistration {
-    const countAge = (at: number) => Math.max(0, Math.round(now - at));
-    const heard = { registration, ageMs: countAge(heardAt) };
+function createHeard(
+    { registration, heardAt, limitPerSecond, limitSaidAt }: Entry,
+    now: number,
+): HeardRegistration {
+    const computeAgeMs = (at: number) => Math.max(0, Math.round(now - at));
+    const heard = { registration, ageMs: computeAgeMs(heardAt) };
     return limitSaidAt === -Infinity
         ? heard
-        : { ...heard, limit: { perSecond: limitPerSecond, ageMs: countAge(limitSaidAt) } };
+        : { ...heard, limit: { perSecond: limitPerSecond, ageMs: computeAgeMs(limitSaidAt) } };
 }
 
-function isOtherLimit(told: number | undefined, known: number | undefined): boolean {
-    return told === undefined || known === undefined
-        ? told !== known
-        : Math.abs(told - known) > LEAST_LIMIT_CHANGE * Math.max(told, known);
+function hasLimitChanged(reported: number | undefined, known: number | undefined): boolean {
+    return reported === undefined || known === undefined
+        ? reported !== known
+        : Math.abs(reported - known) > MIN_RELATIVE_LIMIT_CHANGE * Math.max(reported, known);
 }
 
-/** Until when an upstream is cold by its own word of `heardAt`; undefined where it says nothing of it. */
+/** Returns the end of the cold period that a report of `heardAt` states; undefined if it states none. */
 function tryGetColdUntil({ coldLeftMs }: UpstreamRegistration, heardAt: number): number | undefined {
     return coldLeftMs === undefined ? undefined : heardAt + coldLeftMs;
 }
 
-/** Whether a report says that an upstream has become cold, or cold again. */
-function hasTurnedCold(told: UpstreamRegistration, { coldUntil = -Infinity }: Entry, heardAt: number): boolean {
-    const toldMs = told.coldLeftMs ?? 0;
-    return toldMs > 0 && heardAt + toldMs > coldUntil + LEAST_COLDER_MS;
+/** Returns whether a report starts a cold period or extends it notably. */
+function hasColdPeriodExtended(
+    report: UpstreamRegistration,
+    { coldUntil = -Infinity }: Entry,
+    heardAt: number,
+): boolean {
+    const coldLeftMs = report.coldLeftMs ?? 0;
+    return coldLeftMs > 0 && heardAt + coldLeftMs > coldUntil + MIN_COLD_EXTENSION_MS;
 }
 
-/** Whether a report is of a life after the one that is known. */
-function isLaterLife(told: UpstreamRegistration, known: Entry, heardAt: number): boolean {
+/** Returns whether a report belongs to a later incarnation than the known one. */
+function isLaterIncarnation(report: UpstreamRegistration, known: Entry, heardAt: number): boolean {
     const { bornAt, state } = known.registration;
-    if (told.bornAt === undefined || bornAt === undefined || told.bornAt === bornAt) {
+    if (report.bornAt === undefined || bornAt === undefined || report.bornAt === bornAt) {
         return false;
     }
-    // A box may have its clock set back between two lives; the one that is still heard when nothing late can come is newer.
-    return told.bornAt > bornAt || (state !== "gone" && heardAt - known.heardAt > MOST_LATE_MS);
+    // A box's clock may be set back between two incarnations. Then the one that still reports after the maximum message
+    // delay is the later one.
+    return report.bornAt > bornAt || (state !== "gone" && heardAt - known.heardAt > MAX_MESSAGE_DELAY_MS);
 }
 
-function isEarlierLife(told: UpstreamRegistration, known: UpstreamRegistration): boolean {
-    return told.bornAt !== undefined && known.bornAt !== undefined && told.bornAt < known.bornAt;
+function isEarlierIncarnation(report: UpstreamRegistration, known: UpstreamRegistration): boolean {
+    return report.bornAt !== undefined && known.bornAt !== undefined && report.bornAt < known.bornAt;
 }
 
-/** What is known of a life after one more report of it. */
-function mergeReports(told: UpstreamRegistration, known: UpstreamRegistration): UpstreamRegistration {
-    const isLeavingSaid = told.isLeavingSaid === true || known.isLeavingSaid === true;
-    // What a router tells of an answer may come with a report that is older than the known one.
-    const newest = told.state !== "gone" && told.sequence < known.sequence ? known : told;
+/** Combines the known state of an incarnation with another report of it. */
+function mergeReports(report: UpstreamRegistration, known: UpstreamRegistration): UpstreamRegistration {
+    const isLeavingSaid = report.isLeavingSaid === true || known.isLeavingSaid === true;
+    // A router that forwards an answer may attach a report that is older than the known one.
+    const newest = report.state !== "gone" && report.sequence < known.sequence ? known : report;
     return {
         ...newest,
-        bornAt: told.bornAt ?? known.bornAt,
-        sequence: Math.max(told.sequence, known.sequence),
+        bornAt: report.bornAt ?? known.bornAt,
+        sequence: Math.max(report.sequence, known.sequence),
         ...(isLeavingSaid ? { isLeavingSaid, state: newest.state === "gone" ? "gone" : "leaving" } : {}),
     };
 }
 
-/** Whether a report says something new of the life that is known. The end of a life needs no newer number. */
-function isNews(told: UpstreamRegistration, known: UpstreamRegistration): boolean {
+/**
+ * Returns whether a report adds information on the known incarnation. The end of an incarnation does not need a higher
+ * sequence number.
+ */
+function isNewInformation(report: UpstreamRegistration, known: UpstreamRegistration): boolean {
     if (known.state === "gone") {
-        return known.mayReturn === true && told.state !== "gone" && told.sequence > known.sequence;
+        return known.mayReturn === true && report.state !== "gone" && report.sequence > known.sequence;
     }
-    if (told.state === "gone") {
-        return told.mayReturn !== true || told.isReplaced === true || told.sequence >= known.sequence;
+    if (report.state === "gone") {
+        return report.mayReturn !== true || report.isReplaced === true || report.sequence >= known.sequence;
     }
-    const hasSaidLeaving = told.isLeavingSaid === true && known.isLeavingSaid !== true;
-    return hasSaidLeaving || told.sequence > known.sequence;
+    const hasBegunLeaving = report.isLeavingSaid === true && known.isLeavingSaid !== true;
+    return hasBegunLeaving || report.sequence > known.sequence;
 }
 
-/** Whether an end that names no life may be that of a life before the known one. */
-function isEndDoubtful({ registration, lifeHeardAt, hasEarlierLife }: Entry, heardAt: number): boolean {
-    const isNew = heardAt - lifeHeardAt < MOST_LATE_MS;
-    return registration.bornAt !== undefined && (hasEarlierLife || isNew);
+/** Returns whether an end that names no incarnation may be that of an earlier one. */
+function isEndAmbiguous(
+    { registration, lifeHeardAt, hasEarlierLife }: Entry,
+    heardAt: number,
+): boolean {
+    const isRecent = heardAt - lifeHeardAt < MAX_MESSAGE_DELAY_MS;
+    return registration.bornAt !== undefined && (hasEarlierLife || isRecent);
 }
--- a/test/domain/upstreamRegistry.test.ts
+++ b/test/domain/upstreamRegistry.test.ts
@@ -1,4 +1,4 @@
-/** Registrations that come late, out of order, or not any more. */
+/** Tests reports that arrive late, out of order, or no longer. */
 import t from "tap";
 import { type UpstreamRegistration, UpstreamRegistry } from "../../src/domain/upstreamRegistry.js";
 
@@ -6,7 +6,7 @@
     return { id: "u", service: "s", address: "a:1", zone: "z", slots: 4, state: "ready", sequence: 1, ...part };
 }
 
-void t.test("an older report changes nothing, and one that is gone does not come back", t => {
+void t.test("an outdated report changes nothing, and an upstream that is gone is not revived", t => {
     const registry = new UpstreamRegistry();
     t.equal(registry.record(createRegistration({ sequence: 3 }), 0), "state");
     t.equal(registry.record(createRegistration({ sequence: 2, state: "leaving" }), 1), undefined);
@@ -19,14 +19,14 @@
     t.end();
 });
 
-void t.test("one that is gone before it was known does not come up by a late report", t => {
+void t.test("a late report does not add an upstream whose end was known first", t => {
     const registry = new UpstreamRegistry();
     registry.recordGone("u", 0);
     t.equal(registry.record(createRegistration({ sequence: 9 }), 1), undefined);
     t.end();
 });
 
-void t.test("one that has not been heard is not ready, and is forgotten in the end", t => {
+void t.test("a silent upstream is not ready, and is evicted eventually", t => {
     const registry = new UpstreamRegistry();
     registry.record(createRegistration({}), 0);
     t.equal(registry.getReady("s", 900, 1_000).length, 1);
@@ -39,12 +39,11 @@
     t.end();
 });
 
-/** Ids of the upstreams that are ready at `now`. */
 function listReady(registry: UpstreamRegistry, now: number): string[] {
     return registry.getReady("s", now, Infinity).map(registration => registration.id);
 }
 
-void t.test("a late report of one whose address another has taken does not bring it back", t => {
+void t.test("a late report of an upstream whose address was taken over does not make it ready", t => {
     const registry = new UpstreamRegistry();
     registry.record(createRegistration({ id: "old", sequence: 1 }), 0);
     t.equal(registry.record(createRegistration({ id: "new", sequence: 1 }), 4_000), "state");
@@ -54,7 +53,7 @@
     t.end();
 });
 
-void t.test("one that was taken for ended holds its address again when the other is silent", t => {
+void t.test("an upstream that was presumed to have ended reclaims its address when the other is silent", t => {
     const registry = new UpstreamRegistry();
     registry.record(createRegistration({ id: "here", sequence: 7 }), 0);
     registry.record(createRegistration({ id: "late", sequence: 3 }), 100);
@@ -65,7 +64,7 @@
     t.end();
 });
 
-void t.test("of two that are told together the one heard last holds the address, and one that is gone holds none", t => {
+void t.test("of two upstreams with the same address the one heard last owns it, and one that is gone owns none", t => {
     const registry = new UpstreamRegistry();
     registry.record(createRegistration({ id: "new" }), 5_000);
     registry.record(createRegistration({ id: "old" }), 1_000);
@@ -74,22 +73,22 @@
     t.end();
 });
 
-void t.test("one that said in an answer that it leaves stays so, whatever its later reports say, until its next life", t => {
+void t.test("an upstream that announced its leaving in an answer is leaving until its next incarnation, whatever it reports", t => {
     const registry = new UpstreamRegistry();
     const first = createRegistration({ bornAt: 1, sequence: 5 });
     registry.record(first, 0);
     t.equal(registry.recordLeaving(first, 10), true);
-    t.equal(registry.recordLeaving(first, 20), false, "that is known");
+    t.equal(registry.recordLeaving(first, 20), false, "already known");
     t.equal(registry.record({ ...first, sequence: 6 }, 30), "beat");
     t.same(listReady(registry, 30), []);
     t.equal(registry.record({ ...first, bornAt: 2, sequence: 1 }, 40), "state");
     t.same(listReady(registry, 40), ["u"]);
-    t.equal(registry.recordLeaving(first, 50), false, "an answer of the life before");
+    t.equal(registry.recordLeaving(first, 50), false, "answer of the previous incarnation");
     t.same(listReady(registry, 50), ["u"]);
     t.end();
 });
 
-void t.test("another router's word that one leaves counts also beside an older report", t => {
+void t.test("a leaving state that another router forwards applies even with an outdated report", t => {
     const registry = new UpstreamRegistry();
     registry.record(createRegistration({ sequence: 9, slots: 8 }), 0);
     t.equal(registry.record(createRegistration({ sequence: 4, isLeavingSaid: true }), 10), "state");
@@ -98,22 +97,26 @@
     t.end();
 });
 
-void t.test("of what was said of a limit the newest counts, for the life that said it", t => {
+void t.test("the latest statement on a limit applies, to the incarnation that made it", t => {
     const registry = new UpstreamRegistry();
     const first = createRegistration({ bornAt: 1 });
-    t.equal(registry.recordLimit(first, 5, 0), false, "it is not known");
+    t.equal(registry.recordLimit(first, 5, 0), false, "unknown upstream");
     registry.record(first, 0);
     t.equal(registry.recordLimit(first, 5, 100), true);
-    t.equal(registry.recordLimit(first, 4.8, 200), false, "hardly another limit");
-    t.equal(registry.recordLimit(first, undefined, 150), false, "older than what is known");
+    t.equal(registry.recordLimit(first, 4.8, 200), false, "insignificant change");
+    t.equal(registry.recordLimit(first, undefined, 150), false, "older than the known statement");
     t.equal(registry.tryGetLimit(first), 5);
     t.same(registry.tryGetHeard(first, 300)?.limit, { perSecond: 5, ageMs: 100 });
     t.equal(registry.recordLimit(first, undefined, 250), true);
-    t.same(registry.tryGetHeard(first, 300)?.limit, { perSecond: undefined, ageMs: 50 }, "its end is told, too");
+    t.same(
+        registry.tryGetHeard(first, 300)?.limit,
+        { perSecond: undefined, ageMs: 50 },
+        "the end of the limit is included",
+    );
     registry.recordLimit(first, 5, 400);
     t.equal(registry.countLimited(), 1);
     registry.record({ ...first, bornAt: 2 }, 500);
     t.equal(registry.tryGetLimit({ ...first, bornAt: 2 }), undefined);
-    t.equal(registry.recordLimit(first, 5, 600), false, "an answer of the life before");
+    t.equal(registry.recordLimit(first, 5, 600), false, "answer of the previous incarnation");
     t.end();
 });
