--- a/src/domain/evacuatedZones.ts
+++ b/src/domain/evacuatedZones.ts
@@ -1,25 +1,25 @@
 /**
- * What a router believes of evacuated availability zones. It goes by the newest change that any controller told, and by
- * what it last knew where no controller is heard.
+ * A router's view of the evacuated availability zones: the newest list received from any controller, kept while none
+ * can be reached.
  */
 import type { EvacuationList } from "./evacuationBook.js";
 
 export class EvacuatedZones {
     private index = 0;
     private zones: ReadonlySet<string> = new Set();
-    /** When each zone was heard to be back in service. Monotonic clock, milliseconds. */
-    private readonly returnedAt = new Map<string, number>();
+    /** When each zone was last restored to service. Monotonic clock, milliseconds. */
+    private readonly restoredAt = new Map<string, number>();
 
-    /** Takes what a controller tells. Answers whether it is news. */
+    /** Records a list from a controller. Returns whether it is newer than the current one. */
     record(list: EvacuationList, now: number): boolean {
         if (list.index <= this.index) {
             return false;
         }
-        const before = this.zones;
+        const previousZones = this.zones;
         this.index = list.index;
         this.zones = new Set(list.zones);
-        this.zones.forEach(zone => this.returnedAt.delete(zone));
-        [...before].filter(zone => !this.zones.has(zone)).forEach(zone => this.returnedAt.set(zone, now));
+        this.zones.forEach(zone => this.restoredAt.delete(zone));
+        [...previousZones].filter(zone => !this.zones.has(zone)).forEach(zone => this.restoredAt.set(zone, now));
         return true;
     }
 
@@ -27,9 +27,12 @@
         return this.zones.has(zone);
     }
 
-    /** When a zone came back into service; -Infinity where it was not evacuated as far as is known. Monotonic clock. */
-    getReturnedAt(zone: string): number {
-        return this.returnedAt.get(zone) ?? -Infinity;
+    /**
+     * Returns when a zone was restored to service; -Infinity if it is not known to have been evacuated. Monotonic
+     * clock.
+     */
+    getRestoredAt(zone: string): number {
+        return this.restoredAt.get(zone) ?? -Infinity;
     }
 
     list(): string[] {
--- a/src/domain/evacuationBook.ts
+++ b/src/domain/evacuationBook.ts
@@ -1,61 +1,63 @@
 /**
- * The replicated state of evacuations: from which availability zones the upstreams get no new work. A copy of an order
- * may come late, after a newer order about the same zone; each order names the state that it was given in.
+ * The replicated state of evacuations: the availability zones whose upstreams receive no new work. A duplicate of a
+ * command may arrive after a newer command for the same zone; each command names the state that it was based on.
  */
 import type { SetEvacuationCommand } from "./evacuationCommands.js";
 
-/** What an order came to. */
+/** Result of a command. */
 export interface EvacuationResult {
     readonly type: "evacuation";
-    /** `done`: as ordered, also where it was so before. `overtaken`: another order came between. `full`: no more zones. */
+    /**
+     * `done`: the zone is in the requested state, possibly already before. `overtaken`: the zone has changed since the
+     * state that the command was based on. `full`: the maximum number of zones is reached.
+     */
     readonly outcome: "done" | "overtaken" | "full";
 }
 
-/** The evacuated zones, as routers are told. */
+/** The evacuated zones, as sent to routers. */
 export interface EvacuationList {
-    /** Index in the log of the newest change; 0 before the first. A list with a higher one replaces this one. */
+    /** Log index of the last change; 0 before the first. A list with a higher index replaces one with a lower index. */
     readonly index: number;
     readonly zones: readonly string[];
 }
 
-/** One zone that was ever evacuated. */
+/** A zone that has been evacuated at some time. */
 interface ZoneState {
     readonly zone: string;
     readonly isEvacuated: boolean;
-    /** Counts the changes. */
+    /** Number of changes so far. */
     readonly changes: number;
 }
 
-/** What a snapshot keeps. */
 export interface EvacuationSnapshot {
     readonly index: number;
     readonly zones: readonly ZoneState[];
 }
 
-/** Zones that are remembered, so that made-up names cannot fill the memory; deployments have three to five. */
-const MOST_ZONES = 256;
+/** Maximum number of zones, so that invalid names cannot exhaust memory. */
+const MAX_ZONES = 256;
 
 export class EvacuationBook {
     private readonly zones = new Map<string, ZoneState>();
     private index = 0;
 
     applySet({ zone, isEvacuated, expectedChanges }: SetEvacuationCommand, index: number): EvacuationResult {
-        const known = this.get(zone);
-        if (known.isEvacuated === isEvacuated) {
+        const current = this.get(zone);
+        if (current.isEvacuated === isEvacuated) {
             return { type: "evacuation", outcome: "done" };
         }
-        if (known.changes !== expectedChanges) {
+        if (current.changes !== expectedChanges) {
             return { type: "evacuation", outcome: "overtaken" };
         }
-        if (known.changes === 0 && this.zones.size >= MOST_ZONES) {
+        if (current.changes === 0 && this.zones.size >= MAX_ZONES) {
             return { type: "evacuation", outcome: "full" };
         }
-        this.zones.set(zone, { zone, isEvacuated, changes: known.changes + 1 });
+        this.zones.set(zone, { zone, isEvacuated, changes: current.changes + 1 });
         this.index = index;
         return { type: "evacuation", outcome: "done" };
     }
 
-    /** A zone's state; one that no order has named is in service. */
+    /** Returns a zone's state; a zone without commands is in service. */
     get(zone: string): ZoneState {
         return this.zones.get(zone) ?? { zone, isEvacuated: false, changes: 0 };
     }
--- a/src/domain/rateSharing.ts
+++ b/src/domain/rateSharing.ts
@@ -1,137 +1,150 @@
 /**
- * How all routers together keep to the few requests a second that an upstream bears, without asking each other: one that is
- * cold for some seconds after a start or after its availability zone was evacuated, or one in need that names a limit. Each
- * router has demand for all upstreams at the same moment, so that a bound that each keeps for itself would be passed by as
- * many times as there are routers.
+ * Shares an upstream's request rate among all routers without coordination between them. The rate is bounded while the
+ * upstream is cold, after a start or after its availability zone was evacuated, or while the upstream names a limit.
  *
- * Only so many routers use an upstream as it bears requests a second, by rendezvous hash of its life, each at an even pace.
- * Every router using every upstream at its part of the pace would begin with one request of each at once. The others may
- * try it now and then, where a bound ends only by the upstream's own word: without it an upstream that is used by a router
- * without callers would be left out for good.
+ * The load that this guards against: all routers have requests waiting for the upstream at the same moment, so that a
+ * limit applied by each router separately would be exceeded by a factor of the number of routers.
+ *
+ * At most as many routers send to an upstream as it accepts requests per second. They are chosen by rendezvous hash of
+ * the upstream's incarnation, and each sends at a constant interval; if all routers sent, their first requests would
+ * arrive as one burst. For a limit that ends only when the upstream stops naming it, the other routers send occasional
+ * probes: otherwise the upstream would stay unused if the chosen routers have no traffic.
  */
 import { chooseByRendezvous } from "./identifiers.js";
 import { getLifeKey, type UpstreamRegistration } from "./upstreamRegistry.js";
 
-/** Part of a limit by which the routers that do not use an upstream find out whether it still names it. */
+/** Fraction of a limit that is reserved for probes by routers that were not chosen to send to the upstream. */
 export const LIMIT_TRIAL_PART = 0.1;
 
-/** What one router may send to one upstream. Monotonic clock, milliseconds. */
+/** Schedule on which one router sends to one upstream. Monotonic clock, milliseconds. */
 interface RateShare {
-    /** What the upstream bears from all routers, in requests a second. */
+    /** Requests per second that the upstream accepts from all routers. */
     readonly perSecond: number;
-    /** Least time between two requests of this router; Infinity where it sends none. */
-    readonly spacingMs: number;
-    /** When this router may send the first one. */
-    readonly firstAt: number;
-    /** When it sent the newest one; kept where routers come and go, so that the pace holds. */
-    sentAt: number;
+    /** Minimum time between two requests of this router; Infinity if it must not send. */
+    readonly intervalMs: number;
+    /** Earliest time of this router's first request. */
+    readonly firstSendAt: number;
+    /** Time of this router's last request; kept when the set of routers changes. */
+    lastSentAt: number;
 }
 
-/**
- * How much slower the pace is where routers know only some of each other. What they send then comes at random and no longer
- * in turn.
- */
-const UNKNOWN_MARGIN = 1.5;
+/** Multiplier of the interval if some routers are unknown: the senders' requests are then no longer evenly spaced. */
+const UNKNOWN_ROUTER_FACTOR = 1.5;
 
-/** Most lives that shares are remembered of; the oldest give way, and are begun anew where they are still bounded. */
-const MOST_SHARES = 4_096;
+/** Incarnations whose shares are kept; the oldest are evicted and recomputed on demand. */
+const MAX_SHARES = 4_096;
 
-/** Least rate that is shared out, in requests a second: below it nobody would notice within a minute that a bound has ended. */
-const LEAST_PER_SECOND = 0.1;
+/** Minimum rate that is shared, so that the end of a lower limit is detected within about a minute. */
+const MIN_REQUESTS_PER_SECOND = 0.1;
 
 export class RateSharing {
-    /** By the key of a life. */
+    /** Keyed by incarnation. */
     private readonly shares = new Map<string, RateShare>();
-    /** When an upstream was sent to last under the shares before, by the key of its life. */
-    private sentAt: ReadonlyMap<string, number> = new Map();
-    private others: readonly string[] = [];
-    private count = 1;
-    /** The shares were made for other routers. */
-    private isNewSharing = false;
-    /** Whether the others have been told for long enough that few are missing. */
-    private isSettled = false;
+    /** Time of the last request to each upstream before the routers changed, keyed by incarnation. */
+    private previousSentAt: ReadonlyMap<string, number> = new Map();
+    private peers: readonly string[] = [];
+    private routerCount = 1;
+    /** Whether the routers have changed since the shares were computed. */
+    private haveRoutersChanged = false;
+    /** Whether this router has known its peers for long enough that few are missing. */
+    private isEnabled = false;
 
     /**
-     * `self`: this router's address. `random`: in [0, 1). `trialPart`: part of what an upstream bears that is left to the
-     * routers that do not use it.
+     * `self`: this router's address. `random`: returns a number in [0, 1). `probeFraction`: fraction of the rate that
+     * is reserved for routers that were not chosen to send.
      */
     constructor(
         private readonly self: string,
         private readonly random: () => number,
-        private readonly trialPart: number,
+        private readonly probeFraction: number,
     ) {}
 
     /**
-     * Takes the other routers' addresses. `count`: how many routers there are, this one among them; more than are known by
-     * address where only their number was told.
+     * Sets the other routers' addresses. `routerCount`: number of routers including this one, which is higher than the
+     * number of known addresses if only the count was received.
      */
-    setOthers(others: readonly string[], count: number): void {
-        this.others = others;
-        this.count = count;
-        this.isNewSharing = true;
+    setOthers(peers: readonly string[], routerCount: number): void {
+        this.peers = peers;
+        this.routerCount = routerCount;
+        this.haveRoutersChanged = true;
     }
 
-    /** From here on this router uses bounded upstreams. Right after a start it knows too few of the others to share with them. */
+    /**
+     * Allows sending to rate-limited upstreams. A router that has just started knows too few peers to share rates with
+     * them.
+     */
     settle(): void {
-        this.isSettled = true;
+        this.isEnabled = true;
     }
 
-    /** When this router may next send to an upstream; Infinity where it may not. `perSecond`: what the upstream bears. */
-    getOpenAt(upstream: UpstreamRegistration, perSecond: number, now: number): number {
-        if (!this.isSettled) {
+    /**
+     * Returns when this router may next send to an upstream; Infinity if it must not. `perSecond`: rate that the
+     * upstream accepts.
+     */
+    getNextSendAt(upstream: UpstreamRegistration, perSecond: number, now: number): number {
+        if (!this.isEnabled) {
             return Infinity;
         }
-        const { firstAt, sentAt, spacingMs } = this.getShare(upstream, perSecond, now);
-        return Math.max(firstAt, sentAt + spacingMs);
+        const { firstSendAt, lastSentAt, intervalMs } = this.getShare(
+            upstream,
+            perSecond,
+            now,
+        );
+        return Math.max(firstSendAt, lastSentAt + intervalMs);
     }
 
-    /** Notes a request that is being sent. */
     recordSend(upstream: UpstreamRegistration, perSecond: number, now: number): void {
-        this.getShare(upstream, perSecond, now).sentAt = now;
+        this.getShare(upstream, perSecond, now).lastSentAt = now;
     }
 
     private getShare(upstream: UpstreamRegistration, perSecond: number, now: number): RateShare {
-        this.dropShares();
+        this.discardStaleShares();
         const key = getLifeKey(upstream);
-        const known = this.shares.get(key);
-        if (known?.perSecond === perSecond) {
-            return known;
+        const existing = this.shares.get(key);
+        if (existing?.perSecond === perSecond) {
+            return existing;
         }
-        const spacingMs = this.computeSpacingMs(key, Math.max(perSecond, LEAST_PER_SECOND));
-        // Routers learn of an upstream at the same moment: they begin at moments of their own.
-        const firstAt = spacingMs === Infinity ? Infinity : now + this.random() * spacingMs;
-        const share = { perSecond, spacingMs, firstAt, sentAt: known?.sentAt ?? this.sentAt.get(key) ?? -Infinity };
+        const intervalMs = this.computeIntervalMs(key, Math.max(perSecond, MIN_REQUESTS_PER_SECOND));
+        // Routers discover an upstream at the same time, so each starts at a random offset.
+        const firstSendAt = intervalMs === Infinity ? Infinity : now + this.random() * intervalMs;
+        const share = {
+            perSecond,
+            intervalMs,
+            firstSendAt,
+            lastSentAt: existing?.lastSentAt ?? this.previousSentAt.get(key) ?? -Infinity,
+        };
         this.shares.set(key, share);
-        this.forgetOldest();
+        this.evictOldest();
         return share;
     }
 
-    /** Makes shares anew for other routers, but for when each upstream was sent to. */
-    private dropShares(): void {
-        if (this.isNewSharing) {
-            this.isNewSharing = false;
-            this.sentAt = new Map([...this.shares].map(([key, { sentAt }]) => [key, sentAt]));
+    /** Discards the shares if the routers have changed, keeping the time of the last request to each upstream. */
+    private discardStaleShares(): void {
+        if (this.haveRoutersChanged) {
+            this.haveRoutersChanged = false;
+            this.previousSentAt = new Map([...this.shares].map(([key, { lastSentAt }]) => [key, lastSentAt]));
             this.shares.clear();
         }
     }
 
-    private computeSpacingMs(lifeKey: string, perSecond: number): number {
-        const known = [this.self, ...this.others];
-        const users = Math.max(1, Math.min(known.length, Math.floor(perSecond)));
-        if (chooseByRendezvous(lifeKey, known, users).includes(this.self)) {
-            return 1_000 * users * this.computeUnknownFactor(known.length) / (perSecond * (1 - this.trialPart));
+    private computeIntervalMs(incarnationKey: string, perSecond: number): number {
+        const knownRouters = [this.self, ...this.peers];
+        const senderCount = Math.max(1, Math.min(knownRouters.length, Math.floor(perSecond)));
+        if (chooseByRendezvous(incarnationKey, knownRouters, senderCount).includes(this.self)) {
+            return 1_000 * senderCount * this.computeUnknownRouterFactor(knownRouters.length)
+                / (perSecond * (1 - this.probeFraction));
         }
-        const triers = Math.max(known.length, this.count) - users;
-        return this.trialPart === 0 ? Infinity : 1_000 * triers / (perSecond * this.trialPart);
+        const proberCount = Math.max(knownRouters.length, this.routerCount) - senderCount;
+        return this.probeFraction === 0 ? Infinity : 1_000 * proberCount / (perSecond * this.probeFraction);
     }
 
-    /** Routers that are not known by address choose among those that they know, so that more than `users` may be chosen. */
-    private computeUnknownFactor(known: number): number {
-        return this.count > known ? UNKNOWN_MARGIN * this.count / known : 1;
+    /** Unknown routers may choose different senders, so that more than `senderCount` may send. */
+    private computeUnknownRouterFactor(knownCount: number): number {
+        return this.routerCount > knownCount ? UNKNOWN_ROUTER_FACTOR * this.routerCount / knownCount : 1;
     }
 
-    private forgetOldest(): void {
-        if (this.shares.size > MOST_SHARES) {
+    private evictOldest(): void {
+        if (this.shares.size > MAX_SHARES) {
             this.shares.delete(this.shares.keys().next().value!);
         }
     }
--- a/src/domain/upstreamCandidates.ts
+++ b/src/domain/upstreamCandidates.ts
@@ -1,7 +1,7 @@
 /**
- * Which upstreams a request may be sent to just now: those that take new work, outside of evacuated availability zones, and
- * have not asked this router for rest; of the cold ones and those that name a limit the ones that this router may send to at
- * this moment.
+ * Lists the upstreams that a request may be sent to: those that accept new work, are outside of evacuated availability
+ * zones and have not asked this router to back off. Cold upstreams and those that name a limit are included when this
+ * router's share of the rate allows it.
  */
 import type { BundleService } from "./bundle.js";
 import type { EvacuatedZones } from "./evacuatedZones.js";
@@ -9,27 +9,29 @@
 import type { UpstreamRegistration, UpstreamRegistry } from "./upstreamRegistry.js";
 import type { UpstreamRests } from "./upstreamRests.js";
 
-/** Why an upstream that takes new work gets none from this router at the moment. */
+/** Why an upstream that accepts new work is unavailable to this router. */
 export type ClosedCause = "cold" | "limited" | "resting";
 
-/** The choice at one moment. */
+/** The upstreams available at one time. */
 export interface CandidateList {
     readonly upstreams: readonly UpstreamRegistration[];
-    /** How long until there may be one, in milliseconds; undefined where there is one, or nobody can say. */
+    /**
+     * Milliseconds until an upstream may become available; undefined if one is available, or if the time is unknown.
+     */
     readonly waitMs: number | undefined;
-    /** Where there is none: why, once for each upstream that takes new work. */
+    /** If none is available: the reason for each upstream that accepts new work, with repetitions. */
     readonly closed: readonly ClosedCause[];
 }
 
-/** What keeps an upstream closed to this router. Monotonic clock, milliseconds. */
-interface Closure {
-    readonly cause: ClosedCause;
-    /** When some router may send to it; Infinity where that is not known. */
-    readonly servedAt: number;
+/** Why and until when an upstream is unavailable to this router. Monotonic clock, milliseconds. */
+interface Unavailability {
+    readonly reason: ClosedCause;
+    /** When the first router may send to it again; Infinity if unknown. */
+    readonly availableAt: number;
 }
 
 export class UpstreamCandidates {
-    /** `cold`, `limits`: how the routers share what upstreams bear that are cold, or that name a limit. */
+    /** `cold`, `limits`: rate sharing for cold upstreams and for upstreams that name a limit. */
     constructor(
         private readonly registry: UpstreamRegistry,
         private readonly zones: EvacuatedZones,
@@ -38,32 +40,32 @@
         private readonly limits: RateSharing,
     ) {}
 
-    /** `maxAgeMs`: age beyond which an upstream that has not been heard counts as lost. */
+    /** `maxAgeMs`: time after the last report at which an upstream counts as lost. */
     list(service: BundleService, now: number, maxAgeMs: number): CandidateList {
         const ready = this.registry.getReady(service.name, now, maxAgeMs);
         const upstreams: UpstreamRegistration[] = [];
-        const closures: Closure[] = [];
+        const unavailabilities: Unavailability[] = [];
         for (const upstream of ready) {
             if (this.zones.isEvacuated(upstream.zone)) {
                 continue;
             }
-            const closure = this.tryGetClosure(upstream, service, now);
-            if (closure === undefined) {
+            const unavailability = this.tryGetUnavailability(upstream, service, now);
+            if (unavailability === undefined) {
                 upstreams.push(upstream);
             }
             else {
-                closures.push(closure);
+                unavailabilities.push(unavailability);
             }
         }
         if (upstreams.length > 0) {
             return { upstreams, waitMs: undefined, closed: [] };
         }
-        const earliest = Math.min(...closures.map(({ servedAt }) => servedAt));
+        const earliest = Math.min(...unavailabilities.map(({ availableAt }) => availableAt));
         const waitMs = earliest === Infinity ? undefined : Math.ceil(earliest - now);
-        return { upstreams, waitMs, closed: closures.map(({ cause }) => cause) };
+        return { upstreams, waitMs, closed: unavailabilities.map(({ reason }) => reason) };
     }
 
-    /** Notes a request that is being sent. Answers whether the upstream names a limit that it counts towards. */
+    /** Records a request that is being sent. Returns whether it counts towards a limit that the upstream names. */
     recordSend(upstream: UpstreamRegistration, service: BundleService, now: number): boolean {
         if (this.getColdUntil(upstream, service) > now) {
             this.cold.recordSend(upstream, service.coldPerSecond!, now);
@@ -76,66 +78,80 @@
     }
 
     /**
-     * Whether a request that waited for a connection may still be sent. The upstream may have asked for rest meanwhile, may be
-     * leaving, or may name a limit since; `isCounted`: the request counts towards that already.
+     * Returns whether a request that waited for a connection may still be sent. Meanwhile, the upstream may have asked
+     * for a backoff, begun to leave, or named a limit. `isCounted`: whether the request already counts towards a limit.
      */
     mayStart(upstream: UpstreamRegistration, isCounted: boolean, now: number): boolean {
         const isLeaving = this.registry.getNewest(upstream).state !== "ready";
-        if (isLeaving || this.tryGetResting(upstream, now) !== undefined) {
+        if (isLeaving || this.tryGetBackoff(upstream, now) !== undefined) {
             return false;
         }
         const limit = this.registry.tryGetLimit(upstream);
         if (limit === undefined || isCounted) {
             return true;
         }
-        if (this.limits.getOpenAt(upstream, limit, now) > now) {
+        if (this.limits.getNextSendAt(upstream, limit, now) > now) {
             return false;
         }
         this.limits.recordSend(upstream, limit, now);
         return true;
     }
 
-    /** What keeps an upstream closed for longest; undefined where it is open. */
-    private tryGetClosure(upstream: UpstreamRegistration, service: BundleService, now: number): Closure | undefined {
-        const bounded = selectLonger(this.tryGetCold(upstream, service, now), this.tryGetLimited(upstream, now));
-        return selectLonger(bounded, this.tryGetResting(upstream, now));
+    /** Returns the reason that makes an upstream unavailable for longest; undefined if it is available. */
+    private tryGetUnavailability(
+        upstream: UpstreamRegistration,
+        service: BundleService,
+        now: number,
+    ): Unavailability | undefined {
+        const rateLimit = selectLater(
+            this.tryGetColdLimit(upstream, service, now),
+            this.tryGetNamedLimit(upstream, now),
+        );
+        return selectLater(rateLimit, this.tryGetBackoff(upstream, now));
     }
 
-    private tryGetCold(upstream: UpstreamRegistration, service: BundleService, now: number): Closure | undefined {
+    private tryGetColdLimit(
+        upstream: UpstreamRegistration,
+        service: BundleService,
+        now: number,
+    ): Unavailability | undefined {
         const coldUntil = this.getColdUntil(upstream, service);
         if (coldUntil <= now) {
             return undefined;
         }
-        const openAt = Math.min(coldUntil, this.cold.getOpenAt(upstream, service.coldPerSecond!, now));
-        return openAt <= now ? undefined : { cause: "cold", servedAt: openAt };
+        const nextSendAt = Math.min(coldUntil, this.cold.getNextSendAt(upstream, service.coldPerSecond!, now));
+        return nextSendAt <= now ? undefined : { reason: "cold", availableAt: nextSendAt };
     }
 
-    private tryGetResting(upstream: UpstreamRegistration, now: number): Closure | undefined {
-        const servedAt = this.rests.getUntil(upstream);
-        return servedAt <= now ? undefined : { cause: "resting", servedAt };
+    private tryGetBackoff(upstream: UpstreamRegistration, now: number): Unavailability | undefined {
+        const availableAt = this.rests.getUntil(upstream);
+        return availableAt <= now ? undefined : { reason: "resting", availableAt };
     }
 
-    private tryGetLimited(upstream: UpstreamRegistration, now: number): Closure | undefined {
+    private tryGetNamedLimit(upstream: UpstreamRegistration, now: number): Unavailability | undefined {
         const limit = this.registry.tryGetLimit(upstream);
         if (limit === undefined) {
             return undefined;
         }
-        const openAt = this.limits.getOpenAt(upstream, limit, now);
-        // Where this router may not send yet, another may: a caller who comes back may well meet that one.
-        return openAt <= now ? undefined : { cause: "limited", servedAt: Math.min(openAt, now + 1_000 / limit) };
+        const nextSendAt = this.limits.getNextSendAt(upstream, limit, now);
+        // Another router may be able to send earlier, and the caller's retry may reach that one.
+        return nextSendAt <= now
+            ? undefined
+            : { reason: "limited", availableAt: Math.min(nextSendAt, now + 1_000 / limit) };
     }
 
-    /** Until when an upstream counts as cold; -Infinity where its service has no bound. */
+    /** Returns until when an upstream counts as cold; -Infinity if its service sets no cold limit. */
     private getColdUntil(upstream: UpstreamRegistration, { coldPerSecond, coldStartMs }: BundleService): number {
         if (coldPerSecond === undefined || coldPerSecond <= 0) {
             return -Infinity;
         }
-        // Upstreams of a zone that was evacuated may have become cold just before it came back, and tell so a report later.
-        const returnedColdUntil = this.zones.getReturnedAt(upstream.zone) + coldStartMs;
-        return Math.max(this.registry.getColdUntil(upstream, coldStartMs), returnedColdUntil);
+        // Upstreams of an evacuated zone may have become cold shortly before the zone was restored, which their next
+        // report will show.
+        const zoneColdUntil = this.zones.getRestoredAt(upstream.zone) + coldStartMs;
+        return Math.max(this.registry.getColdUntil(upstream, coldStartMs), zoneColdUntil);
     }
 }
 
-function selectLonger(a: Closure | undefined, b: Closure | undefined): Closure | undefined {
-    return a === undefined || (b !== undefined && b.servedAt > a.servedAt) ? b : a;
+function selectLater(a: Unavailability | undefined, b: Unavailability | undefined): Unavailability | undefined {
+    return a === undefined || (b !== undefined && b.availableAt > a.availableAt) ? b : a;
 }
--- a/src/domain/upstreamRests.ts
+++ b/src/domain/upstreamRests.ts
@@ -1,37 +1,37 @@
 /**
- * The rests that upstreams have asked this router for. An upstream that turns a request away says for how long it wants
- * nothing more from this router; answers to requests that were sent before do not take that back.
+ * Tracks the backoff that upstreams have requested from this router. An upstream that rejects a request states how long
+ * this router should not send to it; later answers to earlier requests do not cancel that.
  */
 import { getLifeKey, type UpstreamLife } from "./upstreamRegistry.js";
 
-/** Longest rest that is kept to, in milliseconds: a mistaken value must not keep an upstream out for hours. */
+/** Maximum backoff in milliseconds, so that an erroneous value cannot exclude an upstream for hours. */
 export const MOST_REST_MS = 300_000;
 
 export class UpstreamRests {
-    /** Until when each rests, by the key of its life: the life after it has asked for nothing. Monotonic clock, milliseconds. */
+    /** End of the backoff, keyed by incarnation: it does not apply after a restart. Monotonic clock, milliseconds. */
     private readonly until = new Map<string, number>();
 
-    /** Takes an upstream's wish; the longest of several holds. Answers until when it rests. */
-    record(upstream: UpstreamLife, restMs: number, now: number): number {
+    /** Records a requested backoff; the one that ends last applies. Returns when it ends. */
+    record(upstream: UpstreamLife, backoffMs: number, now: number): number {
         const key = getLifeKey(upstream);
-        const until = Math.max(now + Math.min(restMs, MOST_REST_MS), this.until.get(key) ?? -Infinity);
+        const until = Math.max(now + Math.min(backoffMs, MOST_REST_MS), this.until.get(key) ?? -Infinity);
         this.until.set(key, until);
         return until;
     }
 
-    /** Until when an upstream rests; -Infinity where it has asked for nothing. */
+    /** Returns when an upstream's backoff ends; -Infinity if it has requested none. */
     getUntil(upstream: UpstreamLife): number {
-        // Most of the time nobody rests, and then no key has to be made.
+        // Avoids building a key in the common case of no backoff.
         return this.until.size === 0 ? -Infinity : this.until.get(getLifeKey(upstream)) ?? -Infinity;
     }
 
-    /** Upstreams that rest. */
+    /** Returns the number of upstreams with a backoff in effect. */
     count(now: number): number {
-        this.forgetOver(now);
+        this.evictExpired(now);
         return this.until.size;
     }
 
-    private forgetOver(now: number): void {
+    private evictExpired(now: number): void {
         for (const [key, until] of this.until) {
             if (until <= now) {
                 this.until.delete(key);
--- a/src/domain/upstreamSignals.ts
+++ b/src/domain/upstreamSignals.ts
@@ -1,16 +1,20 @@
-/** What an upstream says of its own state beside an answer: how much it takes, whether it leaves, whether it wants a rest. */
+/**
+ * State that an upstream reports along with an answer: its rate limit, whether it is leaving, and a requested backoff.
+ */
 export interface UpstreamSignals {
-    /** Requests a second that it takes from all routers together, as long as it says so; undefined where it names no limit. */
+    /**
+     * Requests per second that it accepts from all routers; undefined if it names no limit. Applies until an answer
+     * names another limit or none.
+     */
     readonly limitPerSecond: number | undefined;
-    /** It is about to end and takes no new work. */
+    /** It is shutting down and accepts no new work. */
     readonly isLeaving: boolean;
-    /** How long it wants nothing more from this router, in milliseconds; undefined where it does not ask for it. */
+    /** How long this router should not send to it, in milliseconds; undefined if it requests no backoff. */
     readonly restMs: number | undefined;
-    /** What it said that could not be read, as NAME=VALUE; it counts as not said. */
+    /** Signals that could not be parsed, as NAME=VALUE; they are ignored. */
     readonly unreadable: readonly string[];
 }
 
-/** Signals of an upstream that says nothing of itself. */
 export const NO_SIGNALS: UpstreamSignals = {
     limitPerSecond: undefined,
     isLeaving: false,
--- a/test/domain/evacuationBook.test.ts
+++ b/test/domain/evacuationBook.test.ts
@@ -1,4 +1,4 @@
-/** Orders to evacuate availability zones that come twice, late, or beside each other. */
+/** Tests evacuation commands that arrive twice, late, or concurrently. */
 import t from "tap";
 import { DeclaredState } from "../../src/domain/declaredState.js";
 import { EvacuatedZones } from "../../src/domain/evacuatedZones.js";
@@ -8,18 +8,18 @@
     return { type: "setEvacuation", zone, isEvacuated, expectedChanges } as const;
 }
 
-void t.test("an order, its copies and its withdrawal", t => {
+void t.test("a command, its duplicate and its reversal", t => {
     const book = new EvacuationBook();
     t.equal(book.applySet(createOrder("a", true, 0), 5).outcome, "done");
-    t.equal(book.applySet(createOrder("a", true, 0), 6).outcome, "done", "a copy");
+    t.equal(book.applySet(createOrder("a", true, 0), 6).outcome, "done", "duplicate");
     t.same(book.createList(), { index: 5, zones: ["a"] });
     t.equal(book.applySet(createOrder("a", false, 1), 7).outcome, "done");
-    t.equal(book.applySet(createOrder("a", false, 2), 8).outcome, "done", "a second withdrawal");
+    t.equal(book.applySet(createOrder("a", false, 2), 8).outcome, "done", "second reversal");
     t.same(book.createList(), { index: 7, zones: [] });
     t.end();
 });
 
-void t.test("a copy that comes after the withdrawal changes nothing", t => {
+void t.test("a duplicate that arrives after the reversal changes nothing", t => {
     const book = new EvacuationBook();
     book.applySet(createOrder("a", true, 0), 1);
     book.applySet(createOrder("a", false, 1), 2);
@@ -28,16 +28,16 @@
     t.end();
 });
 
-void t.test("of two orders that were given in the same state one is carried out", t => {
+void t.test("of two commands based on the same state only one is applied", t => {
     const book = new EvacuationBook();
     book.applySet(createOrder("a", true, 0), 1);
     t.equal(book.applySet(createOrder("a", false, 1), 2).outcome, "done");
     t.equal(book.applySet(createOrder("a", true, 1), 3).outcome, "overtaken");
-    t.equal(book.applySet(createOrder("b", true, 0), 4).outcome, "done", "another zone is a matter of its own");
+    t.equal(book.applySet(createOrder("b", true, 0), 4).outcome, "done", "zones are independent");
     t.end();
 });
 
-void t.test("made-up zones do not fill the memory, and zones that are known can still be changed", t => {
+void t.test("the number of zones is bounded, and known zones can still be changed", t => {
     const book = new EvacuationBook();
     const outcomes = Array.from({ length: 300 }, (_, i) => book.applySet(createOrder(`z${i}`, true, 0), i + 1).outcome);
     t.equal(outcomes.filter(outcome => outcome === "done").length, 256);
@@ -46,7 +46,7 @@
     t.end();
 });
 
-void t.test("a snapshot holds it, and the next order goes on from there", t => {
+void t.test("a snapshot restores the zones and their change counts", t => {
     const state = new DeclaredState();
     state.apply({ index: 9, term: 1, at: 0, command: createOrder("a", true, 0) });
     const loaded = new DeclaredState();
@@ -56,17 +56,17 @@
     t.end();
 });
 
-void t.test("a router goes by the newest change, whoever tells it and in whatever order", t => {
+void t.test("a router applies the newest list, whatever its source and order of arrival", t => {
     const zones = new EvacuatedZones();
     t.ok(zones.record({ index: 7, zones: ["a"] }, 100));
-    t.notOk(zones.record({ index: 5, zones: [] }, 200), "a controller that lags behind");
+    t.notOk(zones.record({ index: 5, zones: [] }, 200), "lagging controller");
     t.ok(zones.isEvacuated("a"));
-    t.equal(zones.getReturnedAt("a"), -Infinity);
+    t.equal(zones.getRestoredAt("a"), -Infinity);
     t.ok(zones.record({ index: 8, zones: ["b"] }, 300));
     t.notOk(zones.isEvacuated("a"));
-    t.equal(zones.getReturnedAt("a"), 300);
+    t.equal(zones.getRestoredAt("a"), 300);
     t.same(zones.list(), ["b"]);
     t.ok(zones.record({ index: 9, zones: ["a"] }, 400));
-    t.equal(zones.getReturnedAt("a"), -Infinity);
+    t.equal(zones.getRestoredAt("a"), -Infinity);
     t.end();
 });
--- a/test/domain/upstreamCandidates.test.ts
+++ b/test/domain/upstreamCandidates.test.ts
@@ -1,4 +1,4 @@
-/** Which upstreams may be sent to: evacuated zones, cold upstreams, and what is told when there is none. */
+/** Tests which upstreams may be sent to: evacuated zones, cold upstreams, backoffs, and the result if there is none. */
 import t from "tap";
 import type { BundleService } from "../../src/domain/bundle.js";
 import { EvacuatedZones } from "../../src/domain/evacuatedZones.js";
@@ -15,24 +15,24 @@
     return { id, address: `${id}:1`, ...base, ...part };
 }
 
-function createWorld() {
+function createFixture() {
     const registry = new UpstreamRegistry();
     const zones = new EvacuatedZones();
-    const sharing = new RateSharing("r1", () => 0.5, 0);
+    const coldLimiter = new RateSharing("r1", () => 0.5, 0);
     const rests = new UpstreamRests();
-    const limits = new RateSharing("r1", () => 0.5, 0.1);
-    for (const each of [sharing, limits]) {
-        each.setOthers(["r2"], 2);
-        each.settle();
+    const namedLimiter = new RateSharing("r1", () => 0.5, 0.1);
+    for (const limiter of [coldLimiter, namedLimiter]) {
+        limiter.setOthers(["r2"], 2);
+        limiter.settle();
     }
-    const candidates = new UpstreamCandidates(registry, zones, rests, sharing, limits);
+    const candidates = new UpstreamCandidates(registry, zones, rests, coldLimiter, namedLimiter);
     const list = (now: number) => candidates.list(SERVICE, now, Infinity);
     const listIds = (now: number) => list(now).upstreams.map(({ id }) => id);
-    return { registry, zones, sharing, rests, candidates, list, listIds };
+    return { registry, zones, coldLimiter, rests, candidates, list, listIds };
 }
 
-void t.test("an evacuated zone gets nothing, also where no other upstream is left", t => {
-    const { registry, zones, list, listIds } = createWorld();
+void t.test("upstreams of an evacuated zone are excluded, even if no other upstream is left", t => {
+    const { registry, zones, list, listIds } = createFixture();
     registry.record(createRegistration({ id: "u", zone: "a" }), 0);
     registry.record(createRegistration({ id: "v", zone: "b" }), 0);
     zones.record({ index: 1, zones: ["a"] }, 10);
@@ -42,47 +42,47 @@
     t.end();
 });
 
-void t.test("upstreams of a zone that comes back count as cold, whatever they said before", t => {
-    const { registry, zones, listIds } = createWorld();
+void t.test("upstreams of a restored zone count as cold, whatever they reported before", t => {
+    const { registry, zones, listIds } = createFixture();
     registry.record(createRegistration({ id: "u", zone: "a" }), 0);
     registry.record(createRegistration({ id: "v", zone: "b" }), 0);
     zones.record({ index: 1, zones: ["a"] }, 10);
     zones.record({ index: 2, zones: [] }, 1_000);
     t.same(listIds(1_000), ["v"]);
-    t.same(listIds(4_000), ["u", "v"], "after the time that a start takes");
+    t.same(listIds(4_000), ["u", "v"], "after the cold start period");
     t.end();
 });
 
-void t.test("a cold upstream is sent to at this router's part of the pace", t => {
-    const { registry, candidates, listIds } = createWorld();
+void t.test("a cold upstream is sent to at this router's share of the rate", t => {
+    const { registry, candidates, listIds } = createFixture();
     const cold = createRegistration({ coldLeftMs: 2_000 });
     registry.record(cold, 0);
-    t.same(listIds(0), [], "it begins at a moment of its own");
+    t.same(listIds(0), [], "the first request has a random offset");
     t.same(listIds(100), ["u"]);
     candidates.recordSend(cold, SERVICE, 100);
     t.same(listIds(299), []);
     t.same(listIds(300), ["u"]);
     candidates.recordSend(cold, SERVICE, 1_950);
-    t.same(listIds(2_000), ["u"], "it is not cold any more");
+    t.same(listIds(2_000), ["u"], "the cold period is over");
     t.end();
 });
 
-void t.test("where all are cold, it is told when one may be sent to", t => {
-    const { registry, list } = createWorld();
+void t.test("if all upstreams are cold, the wait until one is available is returned", t => {
+    const { registry, list } = createFixture();
     registry.record(createRegistration({ coldLeftMs: 2_000 }), 0);
     t.same(list(0), { upstreams: [], waitMs: 100, closed: ["cold"] });
     t.end();
 });
 
-void t.test("an upstream that says nothing counts as cold after its life was first heard of", t => {
-    const { registry, listIds } = createWorld();
+void t.test("an upstream that reports no cold period counts as cold after it was first heard of", t => {
+    const { registry, listIds } = createFixture();
     registry.record(createRegistration({ coldLeftMs: undefined }), 0);
     t.same(listIds(0), []);
     t.same(listIds(3_000), ["u"]);
     t.end();
 });
 
-void t.test("one that becomes cold again is told of at once", t => {
+void t.test("an upstream that becomes cold again is a state change", t => {
     const registry = new UpstreamRegistry();
     registry.record(createRegistration({ sequence: 1 }), 0);
     t.equal(registry.record(createRegistration({ sequence: 2 }), 1_000), "beat");
@@ -92,30 +92,30 @@
     t.end();
 });
 
-void t.test("a service without a bound is not held back", t => {
-    const { registry, candidates } = createWorld();
+void t.test("cold upstreams of a service without a cold limit are not rate-limited", t => {
+    const { registry, candidates } = createFixture();
     registry.record(createRegistration({ coldLeftMs: 2_000 }), 0);
     const plain = { name: "s", maxConnections: 8, coldStartMs: 0 };
     t.equal(candidates.list(plain, 0, Infinity).upstreams.length, 1);
     t.end();
 });
 
-void t.test("the longest of several rests holds, and ends with the life that asked for it", t => {
-    const { registry, rests, list, listIds } = createWorld();
+void t.test("the backoff that ends last applies, and does not outlive the incarnation that requested it", t => {
+    const { registry, rests, list, listIds } = createFixture();
     const first = createRegistration({ bornAt: 1 });
     registry.record(first, 0);
     rests.record(first, 3_000, 0);
     rests.record(first, 500, 100);
     t.same(list(1_000), { upstreams: [], waitMs: 2_000, closed: ["resting"] });
     registry.record(createRegistration({ bornAt: 2 }), 1_000);
-    t.same(listIds(1_000), ["u"], "the next life has asked for nothing");
+    t.same(listIds(1_000), ["u"], "the next incarnation has requested no backoff");
     t.equal(rests.count(2_999), 1);
     t.equal(rests.count(3_000), 0);
     t.end();
 });
 
-void t.test("a rest without measure is kept to for a bounded time", t => {
-    const { registry, rests, listIds } = createWorld();
+void t.test("an excessive backoff is capped", t => {
+    const { registry, rests, listIds } = createFixture();
     const upstream = createRegistration({});
     registry.record(upstream, 0);
     rests.record(upstream, 1e12, 0);
@@ -124,8 +124,8 @@
     t.end();
 });
 
-void t.test("an upstream that rests and names a limit is open when both allow it", t => {
-    const { registry, rests, list } = createWorld();
+void t.test("an upstream with a backoff and a limit is available when both allow it", t => {
+    const { registry, rests, list } = createFixture();
     const upstream = createRegistration({});
     registry.record(upstream, 0);
     registry.recordLimit(upstream, 100, 0);
