--- a/test/tools/limitWorld.ts
+++ b/test/tools/limitWorld.ts
@@ -1,6 +1,6 @@
 /**
- * Many routers before one upstream that names a limit for a while, in simulated time: each router decides by the parts that
- * decide in the product, and the word goes from router to router with a delay, or not at all.
+ * Simulates many routers that send to one upstream with a temporary rate limit. Each router uses the production
+ * components; notices between routers are delayed or lost.
  */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { SignalReceiver } from "../../src/daemons/directRouter/signalReceiver.js";
@@ -29,31 +29,31 @@
     state: "ready",
     sequence: 1,
 };
-/** From a router's sending until the answer begins, and from one router's notice until another has it. Milliseconds. */
-const LEAST_ANSWER_MS = 4;
-const MOST_ANSWER_MS = 300;
-const MOST_NOTICE_MS = 60;
+/** Time from a request to its response, and maximum delay of a notice between routers. Milliseconds. */
+const MIN_RESPONSE_MS = 4;
+const MAX_RESPONSE_MS = 300;
+const MAX_NOTICE_DELAY_MS = 60;
 
-export interface LimitWorldOptions {
+export interface LimitSimulationOptions {
     readonly seed: number;
     readonly routers: number;
-    /** Requests a second that each router could send. */
-    readonly demand: number;
-    readonly limit: number;
-    /** Until when the upstream names its limit, from 0 on. Milliseconds. */
+    /** Requests per second that each router would send without a limit. */
+    readonly demandPerSecond: number;
+    readonly limitPerSecond: number;
+    /** How long the upstream names its limit, from time 0. Milliseconds. */
     readonly limitedMs: number;
-    /** Part of the other routers that a router does not know, and part of the notices that are lost. */
-    readonly unknownPart: number;
-    readonly lostPart: number;
-    /** Every so often a router starts anew; undefined where none does. Milliseconds. */
-    readonly restartMs?: number;
+    /** Fraction of its peers that a router does not know, and fraction of notices that are lost. */
+    readonly unknownFraction: number;
+    readonly noticeLossFraction: number;
+    /** Interval at which a random router restarts; undefined for no restarts. Milliseconds. */
+    readonly restartIntervalMs?: number;
 }
 
-/** A request that reached the upstream. Milliseconds. */
+/** A request that reached the upstream. Times in milliseconds since the start. */
 interface Arrival {
     readonly at: number;
-    /** When its router had been answered with a limit for the first time; Infinity where it had not. */
-    readonly routerToldAt: number;
+    /** When its router first received an answer with a limit; Infinity if it had not yet. */
+    readonly routerInformedAt: number;
 }
 
 interface Router {
@@ -62,63 +62,66 @@
     sharing: RateSharing;
     candidates: UpstreamCandidates;
     receiver: SignalReceiver;
-    toldAt: number;
+    informedAt: number;
 }
 
-export class LimitWorld {
+export class LimitSimulation {
     readonly arrivals: Arrival[] = [];
-    /** Notices that routers sent, to all others at once. */
+    /** Number of notices that routers have sent; one goes to all peers. */
     notices = 0;
     private readonly clock = new FakeClock();
-    private readonly start = this.clock.getMonotonicMs();
-    private readonly due = new Map<number, (() => void)[]>();
+    private readonly startMs = this.clock.getMonotonicMs();
+    private readonly scheduledTasks = new Map<number, (() => void)[]>();
     private readonly routers: Router[];
     private readonly generator: { next(): number; };
 
-    constructor(private readonly options: LimitWorldOptions) {
+    constructor(private readonly options: LimitSimulationOptions) {
         this.generator = xoroshiro128plus(options.seed);
         const names = Array.from({ length: options.routers }, (_, i) => `10.0.${options.seed}.${i}:7340`);
         this.routers = names.map(name => this.createRouter(name, names));
     }
 
-    /** Lets time pass until `endMs`. */
-    play(endMs: number): void {
-        this.routers.forEach(router => this.scheduleSending(router));
+    /** Advances the simulated time to `endMs`. */
+    run(endMs: number): void {
+        this.routers.forEach(router => this.scheduleNextRequest(router));
         this.scheduleRestart();
         for (let now = 0; now < endMs; now++) {
-            // What is done may make more due at this moment.
-            for (let tasks = this.due.get(now); tasks !== undefined && tasks.length > 0;) {
+            // A task may schedule further tasks for the same millisecond.
+            for (let tasks = this.scheduledTasks.get(now); tasks !== undefined && tasks.length > 0;) {
                 tasks.shift()!();
             }
-            this.due.delete(now);
+            this.scheduledTasks.delete(now);
             this.clock.advance(1);
         }
     }
 
-    /** The most requests that reached the upstream in `spanMs` from `from` on, of routers that had been told. */
-    countBusiest(from: number, spanMs: number): number {
+    /**
+     * Returns the highest number of requests in any window of `windowMs` after `from`, of routers that had known the
+     * limit for 500 ms.
+     */
+    computePeakRequests(from: number, windowMs: number): number {
         const times = this.arrivals
-            .filter(({ at, routerToldAt }) => at >= from && at - routerToldAt >= 500)
+            .filter(({ at, routerInformedAt }) => at >= from && at - routerInformedAt >= 500)
             .map(({ at }) => at)
             .sort((a, b) => a - b);
-        let busiest = 0;
+        let peak = 0;
         let first = 0;
         times.forEach((at, i) => {
-            while (times[first]! <= at - spanMs) {
+            while (times[first]! <= at - windowMs) {
                 first += 1;
             }
-            busiest = Math.max(busiest, i - first + 1);
+            peak = Math.max(peak, i - first + 1);
         });
-        return busiest;
+        return peak;
     }
 
-    /** Requests a second that reached the upstream between two moments. */
+    /** Returns the requests per second that reached the upstream between `from` and `to`. */
     getRate(from: number, to: number): number {
         return this.arrivals.filter(({ at }) => at >= from && at < to).length / (to - from) * 1_000;
     }
 
-    /** How many routers believe that the upstream has a limit. */
-    countBelievers(): number {
+    /** Counts the routers that consider the upstream limited. */
+    countRoutersWithLimit(): number {
         return this.routers.filter(({ registry }) => registry.tryGetLimit(UPSTREAM) !== undefined).length;
     }
 
@@ -126,22 +129,22 @@
         const registry = new UpstreamRegistry();
         registry.record(UPSTREAM, this.clock.getMonotonicMs());
         const sharing = new RateSharing(name, () => this.draw(), LIMIT_TRIAL_PART);
-        const others = names.filter(other => other !== name && this.draw() >= this.options.unknownPart);
-        sharing.setOthers(others, names.length);
+        const peers = names.filter(other => other !== name && this.draw() >= this.options.unknownFraction);
+        sharing.setOthers(peers, names.length);
         sharing.settle();
         const cold = new RateSharing(name, () => this.draw(), 0);
         const rests = new UpstreamRests();
         const candidates = new UpstreamCandidates(registry, new EvacuatedZones(), rests, cold, sharing);
-        const tell = (heard: HeardRegistration) => this.tellOthers(name, heard);
-        const receiver = new SignalReceiver(registry, rests, tell, this.clock, new NoLog(), new NoMetrics());
-        return { name, registry, sharing, candidates, receiver, toldAt: Infinity };
+        const notify = (heard: HeardRegistration) => this.notifyPeers(name, heard);
+        const receiver = new SignalReceiver(registry, rests, notify, this.clock, new NoLog(), new NoMetrics());
+        return { name, registry, sharing, candidates, receiver, informedAt: Infinity };
     }
 
-    private scheduleSending(router: Router): void {
-        const pauseMs = -Math.log(1 - this.draw()) * 1_000 / this.options.demand;
+    private scheduleNextRequest(router: Router): void {
+        const pauseMs = -Math.log(1 - this.draw()) * 1_000 / this.options.demandPerSecond;
         this.schedule(pauseMs, () => {
             this.trySend(router);
-            this.scheduleSending(router);
+            this.scheduleNextRequest(router);
         });
     }
 
@@ -151,29 +154,29 @@
             return;
         }
         router.candidates.recordSend(UPSTREAM, SERVICE, now);
-        this.arrivals.push({ at: this.getNow(), routerToldAt: router.toldAt });
-        const isLimited = this.getNow() < this.options.limitedMs;
-        const answerMs = LEAST_ANSWER_MS + this.draw() * (MOST_ANSWER_MS - LEAST_ANSWER_MS);
-        const signals = isLimited ? { ...NO_SIGNALS, limitPerSecond: this.options.limit } : NO_SIGNALS;
-        this.schedule(answerMs, () => {
-            router.toldAt = Math.min(router.toldAt, isLimited ? this.getNow() : Infinity);
+        this.arrivals.push({ at: this.getElapsedMs(), routerInformedAt: router.informedAt });
+        const isLimited = this.getElapsedMs() < this.options.limitedMs;
+        const responseMs = MIN_RESPONSE_MS + this.draw() * (MAX_RESPONSE_MS - MIN_RESPONSE_MS);
+        const signals = isLimited ? { ...NO_SIGNALS, limitPerSecond: this.options.limitPerSecond } : NO_SIGNALS;
+        this.schedule(responseMs, () => {
+            router.informedAt = Math.min(router.informedAt, isLimited ? this.getElapsedMs() : Infinity);
             router.receiver.record(UPSTREAM, signals, now);
         });
     }
 
-    private tellOthers(name: string, heard: HeardRegistration): void {
+    private notifyPeers(name: string, heard: HeardRegistration): void {
         this.notices += 1;
         for (const router of this.routers) {
-            if (router.name !== name && this.draw() >= this.options.lostPart) {
-                this.schedule(this.draw() * MOST_NOTICE_MS, () => router.receiver.receive(heard));
+            if (router.name !== name && this.draw() >= this.options.noticeLossFraction) {
+                this.schedule(this.draw() * MAX_NOTICE_DELAY_MS, () => router.receiver.receive(heard));
             }
         }
     }
 
     private scheduleRestart(): void {
-        const { restartMs } = this.options;
-        if (restartMs !== undefined) {
-            this.schedule(restartMs, () => {
+        const { restartIntervalMs } = this.options;
+        if (restartIntervalMs !== undefined) {
+            this.schedule(restartIntervalMs, () => {
                 const i = Math.floor(this.draw() * this.routers.length);
                 const { name } = this.routers[i]!;
                 Object.assign(this.routers[i]!, this.createRouter(name, this.routers.map(router => router.name)));
@@ -183,14 +186,14 @@
     }
 
     private schedule(inMs: number, task: () => void): void {
-        const at = this.getNow() + Math.max(1, Math.round(inMs));
-        const tasks = this.due.get(at) ?? [];
+        const at = this.getElapsedMs() + Math.max(1, Math.round(inMs));
+        const tasks = this.scheduledTasks.get(at) ?? [];
         tasks.push(task);
-        this.due.set(at, tasks);
+        this.scheduledTasks.set(at, tasks);
     }
 
-    private getNow(): number {
-        return this.clock.getMonotonicMs() - this.start;
+    private getElapsedMs(): number {
+        return this.clock.getMonotonicMs() - this.startMs;
     }
 
     private draw(): number {
