--- a/src/domain/movingAverage.ts
+++ b/src/domain/movingAverage.ts
@@ -1,7 +1,9 @@
-/** Least time that a rate is taken over, in milliseconds: before that a single amount would say too much. */
-const LEAST_SPAN_MS = 2_000;
+/**
+ * Minimum time span of the bias correction, in milliseconds, so that a single amount does not yield an excessive rate.
+ */
+const MIN_SPAN_MS = 2_000;
 
-/** A rate that forgets exponentially: amounts a second, with a given half-life. */
+/** An exponentially decaying rate, in amounts per second. */
 export class MovingRate {
     private rate = 0;
     private lastMs: number | undefined;
@@ -9,33 +11,36 @@
 
     constructor(private readonly halfLifeMs: number) {}
 
-    /** Adds an amount seen at `nowMs` on a monotonic clock. */
+    /** Adds an amount observed at `nowMs` on a monotonic clock. */
     add(amount: number, nowMs: number): void {
         this.decay(nowMs);
         this.firstMs ??= nowMs;
-        this.rate += this.getStep(amount);
+        this.rate += this.computeIncrement(amount);
     }
 
-    /** Takes an amount back that was added lately and has turned out not to count. */
+    /** Subtracts an amount that was added recently and turned out not to count. */
     remove(amount: number, nowMs: number): void {
         this.decay(nowMs);
-        this.rate = Math.max(0, this.rate - this.getStep(amount));
+        this.rate = Math.max(0, this.rate - this.computeIncrement(amount));
     }
 
-    /** The rate at `nowMs`, in amounts a second. */
+    /** Returns the rate at `nowMs`, in amounts per second. */
     getRate(nowMs: number): number {
         this.decay(nowMs);
         return this.rate;
     }
 
-    /** The rate corrected for the short time since the first amount, which the plain one takes for a time without any. */
+    /**
+     * Returns the rate corrected for the short time since the first amount; `getRate` counts the time before it as
+     * zero.
+     */
     getUnbiasedRate(nowMs: number): number {
-        const spanMs = Math.max(LEAST_SPAN_MS, nowMs - (this.firstMs ?? nowMs));
+        const spanMs = Math.max(MIN_SPAN_MS, nowMs - (this.firstMs ?? nowMs));
         return this.getRate(nowMs) / (1 - 2 ** (-spanMs / this.halfLifeMs));
     }
 
-    /** By how much an amount raises the rate. */
-    private getStep(amount: number): number {
+    /** Computes by how much an amount raises the rate. */
+    private computeIncrement(amount: number): number {
         return amount * Math.LN2 / (this.halfLifeMs / 1000);
     }
 
--- a/src/domain/sendingTime.ts
+++ b/src/domain/sendingTime.ts
@@ -1,17 +1,19 @@
 /**
- * Whether there is time left to send a request to an upstream.
+ * Determines whether enough time is left to send a request to an upstream.
  *
- * The load that this answers: a router that lags behind its callers. What cannot be back in time is refused at once as not
- * run, with when to come back; sent on, it would run for a caller that has been told otherwise, and one that may not be
- * repeated could not be refused as not run any more.
+ * The load that this guards against: a router that is overloaded. A request that cannot be answered by its deadline is
+ * rejected at once as not run, with a retry delay. If it were sent, it would run after its caller has been told that it
+ * failed, and a request that must not be repeated could no longer be rejected as not run.
  */
 
-/** Least time that is worth a sending, in milliseconds: a round trip to a caller and one to an upstream. */
-const LEAST_SENDING_MS = 15;
-/** Turns of a late event loop that a sending waits for: one for a connection to the upstream, one to read the answer. */
-const LATE_TURNS = 2;
+/** Minimum time for sending, in milliseconds: a round trip to the caller and one to the upstream. */
+const MIN_SEND_TIME_MS = 15;
+/** Delayed event loop turns that sending takes: one to connect to the upstream, one to read the answer. */
+const EVENT_LOOP_TURNS = 2;
 
-/** `leftMs`: until the request's deadline. `loopLateMs`: how late the event loop is just now. Milliseconds. */
-export function isWorthSending(leftMs: number, loopLateMs: number): boolean {
-    return leftMs > LEAST_SENDING_MS + LATE_TURNS * loopLateMs;
+/**
+ * `remainingMs`: time until the request's deadline. `eventLoopDelayMs`: current delay of the event loop. Milliseconds.
+ */
+export function isWorthSending(remainingMs: number, eventLoopDelayMs: number): boolean {
+    return remainingMs > MIN_SEND_TIME_MS + EVENT_LOOP_TURNS * eventLoopDelayMs;
 }
--- a/src/domain/upstreamChooser.ts
+++ b/src/domain/upstreamChooser.ts
@@ -1,48 +1,47 @@
 /**
- * Chooses an upstream for a request: of two drawn at random the less loaded, unless one that has the beginning of the
- * prompt in its cache is not much more loaded than that.
+ * Chooses an upstream for a request: the less loaded of two random ones, unless an upstream that probably has the
+ * prompt's prefix in its cache has an estimated wait that is only slightly longer.
  */
 import type { Upstream } from "./configView.js";
 import { computeHash32 } from "./identifiers.js";
 
-/** What a router knows of one upstream's load. */
-export interface UpstreamLoad {
-    /** Runs this router has there now. */
+/** Load of one upstream, as known to this router. Times are on the monotonic clock. */
+export interface LoadEstimate {
+    /** Requests of this router that are in progress there. */
     inFlight: number;
-    /** Estimated wait its sidecar told last, in milliseconds, and when (monotonic clock). */
+    /** Estimated wait that its sidecar last reported, in milliseconds, and when. */
     waitMs: number;
-    toldAt: number;
-    /** Until when it is left out, because calls to it failed (monotonic clock). */
-    avoidUntil: number;
-    /** Calls in a row that failed. */
-    failures: number;
+    reportedAt: number;
+    /** Until when it is excluded because of failed calls. */
+    backoffUntil: number;
+    consecutiveFailures: number;
 }
 
 /** Times in milliseconds. */
 export interface ChooserOptions {
-    /** How much longer a wait affinity may cost. */
-    readonly affinityBoundMs: number;
-    /** After which time a load that was told counts for nothing. */
-    readonly loadForgottenMs: number;
-    /** Prompts remembered for affinity. */
-    readonly prefixesKept: number;
+    /** Maximum additional wait for the sake of prefix affinity. */
+    readonly maxAffinityWaitMs: number;
+    /** Age at which a reported load is ignored. */
+    readonly loadExpiryMs: number;
+    /** Prompt prefixes that are kept for affinity. */
+    readonly maxPrefixes: number;
 }
 
 export const defaultChooserOptions: ChooserOptions = {
-    affinityBoundMs: 150,
-    loadForgottenMs: 2_000,
-    prefixesKept: 20_000,
+    maxAffinityWaitMs: 150,
+    loadExpiryMs: 2_000,
+    maxPrefixes: 20_000,
 };
 
-/** How long an upstream is left out after a failed call, in milliseconds: doubled with each failure in a row. */
-const SHORTEST_AVOID_MS = 500;
-const LONGEST_AVOID_MS = 8_000;
+/** How long an upstream is excluded after a failed call, in milliseconds; doubles with each consecutive failure. */
+const MIN_BACKOFF_MS = 500;
+const MAX_BACKOFF_MS = 8_000;
 
-/** Characters of the prompt's beginning that affinity goes by. */
+/** Length of the prompt prefix that affinity is based on, in characters. */
 const PREFIX_LENGTH = 512;
 
 export class UpstreamChooser {
-    private readonly loads = new Map<string, UpstreamLoad>();
+    private readonly loads = new Map<string, LoadEstimate>();
     private readonly prefixes = new Map<string, string>();
 
     constructor(
@@ -50,55 +49,55 @@
         private readonly options: ChooserOptions = defaultChooserOptions,
     ) {}
 
-    /** Chooses among `candidates`; undefined when none is left. */
+    /** Returns undefined if there are no candidates. */
     tryChoose(candidates: readonly Upstream[], prompt: string, now: number): Upstream | undefined {
-        const usable = candidates.filter(upstream => this.getLoad(upstream.name).avoidUntil <= now);
+        const usable = candidates.filter(upstream => this.getLoad(upstream.name).backoffUntil <= now);
         const pool = usable.length > 0 ? usable : candidates;
         if (pool.length === 0) {
             return undefined;
         }
-        const chosen = this.chooseOfTwo(pool, now);
+        const chosen = this.chooseLessLoadedOfTwo(pool, now);
         const cached = this.tryGetCached(pool, prompt);
-        const isWorthIt = cached !== undefined
-            && this.estimateWait(cached, now) <= this.estimateWait(chosen, now) + this.options.affinityBoundMs;
-        return isWorthIt ? cached : chosen;
+        const isAffinityPreferred = cached !== undefined
+            && this.estimateWait(cached, now) <= this.estimateWait(chosen, now) + this.options.maxAffinityWaitMs;
+        return isAffinityPreferred ? cached : chosen;
     }
 
-    getLoad(upstream: string): UpstreamLoad {
+    getLoad(upstream: string): LoadEstimate {
         let load = this.loads.get(upstream);
         if (load === undefined) {
-            load = { inFlight: 0, waitMs: 0, toldAt: -Infinity, avoidUntil: -Infinity, failures: 0 };
+            load = { inFlight: 0, waitMs: 0, reportedAt: -Infinity, backoffUntil: -Infinity, consecutiveFailures: 0 };
             this.loads.set(upstream, load);
         }
         return load;
     }
 
-    /** Notes what a sidecar told of its load. */
+    /** Records the load that a sidecar reported. */
     recordLoad(upstream: string, waitMs: number, now: number): void {
         const load = this.getLoad(upstream);
         load.waitMs = waitMs;
-        load.toldAt = now;
-        load.failures = 0;
+        load.reportedAt = now;
+        load.consecutiveFailures = 0;
     }
 
-    /** Leaves an upstream out for a while, longer with each failure in a row. */
+    /** Excludes an upstream for a period that doubles with each consecutive failure. */
     avoid(upstream: string, now: number): void {
         const load = this.getLoad(upstream);
-        load.avoidUntil = now + Math.min(LONGEST_AVOID_MS, SHORTEST_AVOID_MS * 2 ** load.failures);
-        load.failures += 1;
+        load.backoffUntil = now + Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** load.consecutiveFailures);
+        load.consecutiveFailures += 1;
     }
 
-    /** Notes that an upstream now has the beginning of this prompt in its cache. */
+    /** Records that an upstream now has the prompt's prefix in its cache. */
     recordPrompt(upstream: string, prompt: string): void {
         const key = getPrefixKey(prompt);
         this.prefixes.delete(key);
         this.prefixes.set(key, upstream);
-        if (this.prefixes.size > this.options.prefixesKept) {
+        if (this.prefixes.size > this.options.maxPrefixes) {
             this.prefixes.delete(this.prefixes.keys().next().value!);
         }
     }
 
-    private chooseOfTwo(pool: readonly Upstream[], now: number): Upstream {
+    private chooseLessLoadedOfTwo(pool: readonly Upstream[], now: number): Upstream {
         const first = pool[Math.floor(this.random() * pool.length)]!;
         const second = pool[Math.floor(this.random() * pool.length)]!;
         return this.getScore(second, now) < this.getScore(first, now) ? second : first;
@@ -111,9 +110,9 @@
 
     private estimateWait(upstream: Upstream, now: number): number {
         const load = this.getLoad(upstream.name);
-        const told = now - load.toldAt < this.options.loadForgottenMs ? load.waitMs : 0;
-        const overSlots = Math.max(0, load.inFlight - upstream.slots);
-        return told + overSlots * 100;
+        const reportedWaitMs = now - load.reportedAt < this.options.loadExpiryMs ? load.waitMs : 0;
+        const excessRequests = Math.max(0, load.inFlight - upstream.slots);
+        return reportedWaitMs + excessRequests * 100;
     }
 
     private getScore(upstream: Upstream, now: number): number {
--- a/src/domain/upstreamLoad.ts
+++ b/src/domain/upstreamLoad.ts
@@ -1,163 +1,166 @@
 /**
- * What a router knows of the load and the memory of its upstreams, from its own requests and from what the other
- * routers tell of theirs, and the choice by it.
+ * Tracks the load and the prompt caches of upstreams, from this router's requests and from those that other routers
+ * report, and chooses the upstream for a request.
  *
- * A model engine keeps the parts of prompts it has read; a prompt costs the time to read the rest. The chooser weighs
- * that work against the wait, so that a kept prompt attracts its like until its engine would keep callers waiting. What
- * an engine reads also holds up every stream that runs beside it, so long prompts go where little is read already.
+ * An engine caches the parts of prompts that it has processed, so a request costs the prefill of its remaining parts.
+ * The chooser weighs this cost against the wait: a cached prefix attracts requests until the wait outweighs it. Since
+ * prefill delays the concurrent streams of an engine, long prompts go to upstreams that have little prefill pending.
  */
 import { chooseByRendezvous } from "./identifiers.js";
 import { MovingRate } from "./movingAverage.js";
 import { type QueuedPrompt, ReadingQueue, ReadingSpeed, type ReadingSpeedOptions } from "./readingQueue.js";
 import { getLifeKey, type UpstreamLife, type UpstreamRegistration } from "./upstreamRegistry.js";
 
-/** A part of a prompt that other prompts may share. */
+/** A part of a prompt, which other prompts may share. */
 export interface PromptPart {
     readonly id: string;
     readonly tokens: number;
 }
 
-/** What the choice needs to know of a request. */
+/** Properties of a request that the choice depends on. */
 export interface RequestDemand {
     readonly parts: readonly PromptPart[];
     readonly promptTokens: number;
 }
 
-/** What a choice goes by beside the request. */
-export interface ChoiceTerms {
-    /** Upstreams that are left out. */
+/** Inputs of a choice other than the request. */
+export interface SelectionContext {
+    /** Ids of the upstreams that are excluded. */
     readonly tried: ReadonlySet<string>;
-    /** How many routers send to the upstreams. */
     readonly routers: number;
-    /** Longest wait, for a first token or between two, with which an answer of the service is in time. Milliseconds. */
+    /** Longest acceptable wait for the first token or between two tokens of an answer. Milliseconds. */
     readonly longestWaitMs: number;
 }
 
-/** Weights of the choice and times of what is forgotten. */
+/** Weights, limits and half-lives of the choice. */
 export interface UpstreamLoadOptions {
     readonly readingSpeed: ReadingSpeedOptions;
-    /** What a wait counts beside the work of reading a prompt, as long as both stay comfortable. */
+    /** Weight of waiting time relative to prefill time. */
     readonly waitWeight: number;
-    /** Part of the longest wait in time that an engine may read at a stretch without harm. */
+    /** Fraction of the longest acceptable wait that a prefill may take without harm to concurrent streams. */
     readonly comfortablePart: number;
-    /** What each millisecond beyond that counts on top for the request itself, and for each stream beside it. */
+    /** Cost of each millisecond beyond that, for the request itself and for each concurrent stream. */
     readonly beyondWeight: number;
     readonly beyondStreamWeight: number;
-    /** What an expected millisecond of such reading counts beside a stream of a second. */
+    /** Weight of the rate of such excess prefill, in milliseconds per second. */
     readonly disturbanceWeight: number;
-    /** How fast it is forgotten that an upstream read at a stretch, in milliseconds. */
+    /** Half-life of the rate of excess prefill, in milliseconds. */
     readonly disturbanceHalfLifeMs: number;
-    /** Part of the shared parts that the upstream preferred by hash is presumed to keep where nobody has told so. */
+    /**
+     * Fraction of the shared parts that the upstream preferred by hash is presumed to have cached if nothing is known
+     * of them.
+     */
     readonly presumedKeptPart: number;
-    /** What all slots of an upstream taken add to the estimate, in milliseconds. */
+    /** Cost of an upstream whose slots are all in use, in milliseconds. */
     readonly runningCostMs: number;
-    /** What a request to another availability zone is charged, in milliseconds. */
+    /** Cost of a request to another availability zone, in milliseconds. */
     readonly otherZoneCostMs: number;
-    /** Parts remembered of each upstream. */
+    /** Prompt parts tracked per upstream. */
     readonly maxParts: number;
     /** Pause after the first failed connection, in milliseconds; doubles up to `maxPauseMs`. */
     readonly pauseMs: number;
     readonly maxPauseMs: number;
     readonly failureHalfLifeMs: number;
-    /** Part by which one outcome moves the failure share. */
+    /** Weight of one outcome in the failure rate. */
     readonly failureWeight: number;
-    /** What a failure share of 1 adds to the estimate, in milliseconds. */
+    /** Cost of a failure rate of 1, in milliseconds. */
     readonly failureCostMs: number;
 }
 
 interface Load {
-    running: number;
+    activeRequests: number;
     readonly speed: ReadingSpeed;
     readonly reading: ReadingQueue;
-    /** Milliseconds that the upstream reads at a stretch beyond what is comfortable, a second. */
+    /** Rate of prefill time beyond the harmless length, in milliseconds per second. */
     readonly disturbance: MovingRate;
-    /** Prompt parts that the upstream was sent, oldest first. */
-    readonly parts: Set<string>;
-    /** Part of the requests that failed, as of `failureAt`. */
-    failureShare: number;
-    failureAt: number;
-    failuresInARow: number;
+    /** Ids of the prompt parts that were sent to the upstream, least recently used first. */
+    readonly cachedParts: Set<string>;
+    /** Fraction of requests that failed, as of `failureRateAt`. */
+    failureRate: number;
+    failureRateAt: number;
+    consecutiveFailures: number;
     pausedUntil: number;
 }
 
-/** A request that has been placed at an upstream. */
+/** The upstream that was chosen for a request, and the estimated prefill. */
 export interface Placement {
     readonly upstream: UpstreamRegistration;
-    /** Prompt tokens that the upstream probably has to read. */
+    /** Prompt tokens that the upstream probably does not have cached. */
     readonly newTokens: number;
-    /** How long the upstream has to read before it. Milliseconds. */
+    /** Prefill time queued before the request. Milliseconds. */
     readonly aheadMs: number;
-    /** How long the upstream reads it alone beyond what is comfortable to streams beside. Milliseconds. */
+    /** Prefill time of the request beyond the length that is harmless to concurrent streams. Milliseconds. */
     readonly beyondMs: number;
 }
 
-/** A placed request until its prompt has been read. */
+/** A request that was sent and whose prefill is pending. */
 export interface StartedPlacement extends Placement {
     readonly prompt: QueuedPrompt;
 }
 
-/** How a request came out, as far as it tells of its upstream. */
+/** Outcome of a request with regard to its upstream. */
 export type LoadOutcome = "good" | "failed" | "unreachable" | "full";
 
 export class UpstreamLoad {
-    /** By the key of a life: one that starts again under its id keeps nothing, and has failed nobody. */
+    /** Keyed by incarnation: a restarted upstream has an empty cache and no failures. */
     private readonly loads = new Map<string, Load>();
 
     constructor(private readonly zone: string, private readonly options: UpstreamLoadOptions) {}
 
-    /** Chooses among upstreams that take new work. Undefined where none is left. */
+    /** Chooses among upstreams that accept new work. Returns undefined if all have been tried. */
     tryChoose(
         candidates: readonly UpstreamRegistration[],
         demand: RequestDemand,
-        terms: ChoiceTerms,
+        context: SelectionContext,
         now: number,
     ): Placement | undefined {
-        const open = candidates.filter(candidate => !terms.tried.has(candidate.id));
-        const awake = open.filter(candidate => this.getLoad(candidate).pausedUntil <= now);
-        const usable = awake.length > 0 ? awake : open;
-        const preferred = this.findPreferred(usable, demand);
+        const untried = candidates.filter(candidate => !context.tried.has(candidate.id));
+        const unpaused = untried.filter(candidate => this.getLoad(candidate).pausedUntil <= now);
+        const usable = unpaused.length > 0 ? unpaused : untried;
+        const preferred = this.findPreferredByHash(usable, demand);
         let best: UpstreamRegistration | undefined;
         let bestCost = Infinity;
         for (const upstream of usable) {
             const newTokens = this.countNewTokens(upstream, demand);
-            const presumed = upstream.id === preferred ? this.countPresumed(demand, newTokens) : 0;
-            const cost = this.estimateMs(upstream, newTokens - presumed, terms, now);
+            const presumedCachedTokens = upstream.id === preferred
+                ? this.countPresumedCachedTokens(demand, newTokens)
+                : 0;
+            const cost = this.estimateCostMs(upstream, newTokens - presumedCachedTokens, context, now);
             if (cost < bestCost) {
                 best = upstream;
                 bestCost = cost;
             }
         }
-        return best === undefined ? undefined : this.createPlacement(best, demand, terms, now);
+        return best === undefined ? undefined : this.createPlacement(best, demand, context, now);
     }
 
     private createPlacement(
         upstream: UpstreamRegistration,
         demand: RequestDemand,
-        terms: ChoiceTerms,
+        context: SelectionContext,
         now: number,
     ): Placement {
         const load = this.getLoad(upstream);
         const newTokens = this.countNewTokens(upstream, demand);
-        const readMs = newTokens * load.speed.msPerToken;
-        const beyondMs = Math.max(0, Math.round(readMs - this.getComfortableMs(terms)));
+        const prefillMs = newTokens * load.speed.msPerToken;
+        const beyondMs = Math.max(0, Math.round(prefillMs - this.getMaxHarmlessPrefillMs(context)));
         return { upstream, newTokens, aheadMs: load.reading.getBacklogMs(now), beyondMs };
     }
 
-    /** How long an engine may read at a stretch without harm to the streams beside. */
-    private getComfortableMs(terms: ChoiceTerms): number {
-        return terms.longestWaitMs * this.options.comfortablePart;
+    /** Returns the longest prefill that does not harm concurrent streams. */
+    private getMaxHarmlessPrefillMs(context: SelectionContext): number {
+        return context.longestWaitMs * this.options.comfortablePart;
     }
 
-    /** Notes a request that is being sent. */
     recordStart(placement: Placement, demand: RequestDemand, now: number): StartedPlacement {
         const load = this.getLoad(placement.upstream);
-        load.running += 1;
+        load.activeRequests += 1;
         load.disturbance.add(placement.beyondMs, now);
-        this.addParts(load, demand.parts.map(part => part.id));
+        this.addCachedParts(load, demand.parts.map(part => part.id));
         return { ...placement, prompt: load.reading.add(placement.newTokens, now) };
     }
 
-    /** Notes a request that another router has sent. */
+    /** Records a request that another router sent. */
     recordOther(
         upstream: UpstreamLife,
         newTokens: number,
@@ -167,117 +170,128 @@
     ): void {
         const load = this.getLoad(upstream);
         load.disturbance.add(beyondMs, now);
-        this.addParts(load, parts);
+        this.addCachedParts(load, parts);
         load.reading.addOther(newTokens, now);
     }
 
-    /** Notes that the answer of a request has begun, so that its prompt has been read. */
+    /** Records that a response has begun, which shows that the prefill is complete. */
     recordFirstByte(placement: StartedPlacement, now: number): void {
         this.getLoad(placement.upstream).reading.recordRead(placement.prompt, now);
     }
 
-    /** Notes that a request ended before its answer began. */
+    /** Records that a request ended before its response began. */
     recordUnanswered(placement: StartedPlacement): void {
         this.getLoad(placement.upstream).reading.recordDropped(placement.prompt);
     }
 
-    /** Notes that a request has come to its end, of whatever kind. */
+    /** Records the end of a request, whatever its outcome. */
     recordEnd(placement: Placement): void {
-        this.getLoad(placement.upstream).running -= 1;
+        this.getLoad(placement.upstream).activeRequests -= 1;
     }
 
-    /** Notes how a request came out. A connection that could not be made pauses the upstream. */
+    /** Records the outcome of a request. An upstream that is unreachable, full or fails repeatedly is paused. */
     recordOutcome(upstream: UpstreamLife, outcome: LoadOutcome, now: number): void {
         const load = this.getLoad(upstream);
         const { failureWeight, pauseMs, maxPauseMs } = this.options;
         if (outcome === "good" || outcome === "failed") {
             const failed = outcome === "failed" ? 1 : 0;
-            const share = this.getFailureShare(load, now);
-            load.failureShare = share + (failed - share) * failureWeight;
-            load.failureAt = now;
+            const failureRate = this.getFailureRate(load, now);
+            load.failureRate = failureRate + (failed - failureRate) * failureWeight;
+            load.failureRateAt = now;
         }
         if (outcome === "good") {
-            load.failuresInARow = 0;
+            load.consecutiveFailures = 0;
             load.pausedUntil = 0;
             return;
         }
-        load.failuresInARow += 1;
-        if (outcome !== "failed" || load.failuresInARow > 1) {
-            load.pausedUntil = now + Math.min(maxPauseMs, pauseMs * 2 ** Math.min(10, load.failuresInARow - 1));
+        load.consecutiveFailures += 1;
+        if (outcome !== "failed" || load.consecutiveFailures > 1) {
+            load.pausedUntil = now + Math.min(maxPauseMs, pauseMs * 2 ** Math.min(10, load.consecutiveFailures - 1));
         }
         if (outcome === "unreachable") {
-            load.parts.clear();
+            load.cachedParts.clear();
         }
     }
 
-    /** Failures are forgotten with time: an upstream that is avoided for them has no chance to show otherwise. */
-    private getFailureShare(load: Load, now: number): number {
-        return load.failureShare * 2 ** (-(now - load.failureAt) / this.options.failureHalfLifeMs);
+    /** The failure rate decays, because an upstream that is avoided gets no requests that could lower it. */
+    private getFailureRate(load: Load, now: number): number {
+        return load.failureRate * 2 ** (-(now - load.failureRateAt) / this.options.failureHalfLifeMs);
     }
 
-    /** Forgets lives of upstreams that are not known any more. `known`: keys of lives. */
+    /** Evicts upstreams that are not in `known`, the keys of incarnations, and have no active requests. */
     forgetExcept(known: ReadonlySet<string>): void {
         for (const [key, load] of this.loads) {
-            if (!known.has(key) && load.running === 0) {
+            if (!known.has(key) && load.activeRequests === 0) {
                 this.loads.delete(key);
             }
         }
     }
 
-    private estimateMs(upstream: UpstreamRegistration, newTokens: number, terms: ChoiceTerms, now: number): number {
+    private estimateCostMs(
+        upstream: UpstreamRegistration,
+        newTokens: number,
+        context: SelectionContext,
+        now: number,
+    ): number {
         const load = this.getLoad(upstream);
         const { waitWeight, runningCostMs, otherZoneCostMs, failureCostMs, disturbanceWeight } = this.options;
-        const readMs = newTokens * load.speed.msPerToken;
+        const prefillMs = newTokens * load.speed.msPerToken;
         const waitMs = load.reading.getBacklogMs(now);
-        // The other routers send about as many as this one.
-        const running = load.running * terms.routers;
-        return readMs + waitMs * waitWeight
-            + this.estimateHarmMs(readMs + waitMs, running, terms)
+        // Assumes that each router sends about as many requests as this one.
+        const activeRequests = load.activeRequests * context.routers;
+        return prefillMs + waitMs * waitWeight
+            + this.estimateInterferenceCostMs(prefillMs + waitMs, activeRequests, context)
             + load.disturbance.getRate(now) * disturbanceWeight
-            + running / Math.max(1, upstream.slots) * runningCostMs
-            + this.getFailureShare(load, now) * failureCostMs
+            + activeRequests / Math.max(1, upstream.slots) * runningCostMs
+            + this.getFailureRate(load, now) * failureCostMs
             + (upstream.zone === this.zone ? 0 : otherZoneCostMs);
     }
 
-    /** What it counts that an engine reads for `stretchMs`. Who is late already is not harmed by more of it. */
-    private estimateHarmMs(stretchMs: number, running: number, terms: ChoiceTerms): number {
+    /**
+     * Estimates the cost of delaying concurrent streams by a prefill of `prefillMs`. The excess is capped: once an
+     * answer is late, further delay adds no cost.
+     */
+    private estimateInterferenceCostMs(prefillMs: number, activeRequests: number, context: SelectionContext): number {
         const { beyondWeight, beyondStreamWeight } = this.options;
-        const beyondMs = Math.max(0, stretchMs - this.getComfortableMs(terms));
-        const late = Math.min(beyondMs, terms.longestWaitMs);
-        return late * (beyondWeight + running * beyondStreamWeight);
+        const excessMs = Math.max(0, prefillMs - this.getMaxHarmlessPrefillMs(context));
+        const cappedExcessMs = Math.min(excessMs, context.longestWaitMs);
+        return cappedExcessMs * (beyondWeight + activeRequests * beyondStreamWeight);
     }
 
-    /** Prompt tokens that an upstream has to read, as far as is known. */
+    /** Counts the prompt tokens that are not known to be cached. */
     private countNewTokens(upstream: UpstreamLife, demand: RequestDemand): number {
-        const { parts } = this.getLoad(upstream);
-        let kept = 0;
+        const { cachedParts } = this.getLoad(upstream);
+        let cachedTokens = 0;
         for (const part of demand.parts) {
-            if (!parts.has(part.id)) {
+            if (!cachedParts.has(part.id)) {
                 break;
             }
-            kept += part.tokens;
+            cachedTokens += part.tokens;
         }
-        return Math.max(0, demand.promptTokens - kept);
+        return Math.max(0, demand.promptTokens - cachedTokens);
     }
 
-    /** The part of `newTokens` that an upstream probably keeps though nobody has told of it. */
-    private countPresumed(demand: RequestDemand, newTokens: number): number {
-        const own = demand.parts.at(-1)?.tokens ?? 0;
-        return Math.max(0, newTokens - own) * this.options.presumedKeptPart;
+    /** Estimates how many of `newTokens` are cached though no router has reported it. */
+    private countPresumedCachedTokens(demand: RequestDemand, newTokens: number): number {
+        const unsharedTokens = demand.parts.at(-1)?.tokens ?? 0;
+        return Math.max(0, newTokens - unsharedTokens) * this.options.presumedKeptPart;
     }
 
-    private addParts(load: Load, ids: readonly string[]): void {
+    private addCachedParts(load: Load, ids: readonly string[]): void {
         for (const id of ids) {
-            load.parts.delete(id);
-            load.parts.add(id);
+            load.cachedParts.delete(id);
+            load.cachedParts.add(id);
         }
-        while (load.parts.size > this.options.maxParts) {
-            load.parts.delete(load.parts.values().next().value!);
+        while (load.cachedParts.size > this.options.maxParts) {
+            load.cachedParts.delete(load.cachedParts.values().next().value!);
         }
     }
 
-    /** The upstream that all routers would prefer for a prompt, by hash of the longest part that it may share. */
-    private findPreferred(candidates: readonly UpstreamRegistration[], demand: RequestDemand): string | undefined {
+    /** Finds the upstream that all routers prefer for a prompt, by hash of its longest part that may be shared. */
+    private findPreferredByHash(
+        candidates: readonly UpstreamRegistration[],
+        demand: RequestDemand,
+    ): string | undefined {
         const shared = demand.parts[Math.max(0, demand.parts.length - 2)];
         return shared === undefined || candidates.length === 0
             ? undefined
@@ -288,16 +302,16 @@
         const key = getLifeKey(upstream);
         let load = this.loads.get(key);
         if (load === undefined) {
-            const speed = new ReadingSpeed(this.options.readingSpeed, this.computeTypicalMsPerToken());
+            const speed = new ReadingSpeed(this.options.readingSpeed, this.computeMedianMsPerToken());
             load = {
-                running: 0,
+                activeRequests: 0,
                 speed,
                 reading: new ReadingQueue(speed),
                 disturbance: new MovingRate(this.options.disturbanceHalfLifeMs),
-                parts: new Set(),
-                failureShare: 0,
-                failureAt: 0,
-                failuresInARow: 0,
+                cachedParts: new Set(),
+                failureRate: 0,
+                failureRateAt: 0,
+                consecutiveFailures: 0,
                 pausedUntil: 0,
             };
             this.loads.set(key, load);
@@ -305,8 +319,8 @@
         return load;
     }
 
-    /** Upstreams that nothing is known of are taken for like the others. Undefined where there are none. */
-    private computeTypicalMsPerToken(): number | undefined {
+    /** Used for upstreams without measurements. Returns undefined if there are no upstreams yet. */
+    private computeMedianMsPerToken(): number | undefined {
         const speeds = [...this.loads.values()].map(load => load.speed.msPerToken).sort((a, b) => a - b);
         return speeds[Math.floor(speeds.length / 2)];
     }
--- a/test/domain/upstreamLoad.test.ts
+++ b/test/domain/upstreamLoad.test.ts
@@ -1,9 +1,9 @@
-/** The choice of an upstream: kept prompts attract their like, busy and failing upstreams lose, nobody is left out. */
+/** Tests the choice of an upstream by prompt cache, load and failures. */
 import t from "tap";
-import { type ChoiceTerms, UpstreamLoad } from "../../src/domain/upstreamLoad.js";
+import { type SelectionContext, UpstreamLoad } from "../../src/domain/upstreamLoad.js";
 import type { UpstreamRegistration } from "../../src/domain/upstreamRegistry.js";
 
-const TERMS: ChoiceTerms = { tried: new Set(), routers: 1, longestWaitMs: 500 };
+const CONTEXT: SelectionContext = { tried: new Set(), routers: 1, longestWaitMs: 500 };
 
 function createLoad(): UpstreamLoad {
     return new UpstreamLoad("z1", {
@@ -40,80 +40,80 @@
     return { promptTokens: 6_000, parts: [{ id: shared, tokens: 5_000 }, { id: own, tokens: 1_000 }] };
 }
 
-void t.test("prompts that share a part go to one upstream, at all routers alike", t => {
-    const first = createLoad().tryChoose(upstreams, createDemand("p", "x"), TERMS, 0)!;
+void t.test("prompts that share a part go to the same upstream from all routers", t => {
+    const first = createLoad().tryChoose(upstreams, createDemand("p", "x"), CONTEXT, 0)!;
     const load = createLoad();
     for (let i = 0; i < 5; i++) {
         const demand = createDemand("p", `own-${i}`);
-        const placement = load.tryChoose(upstreams, demand, TERMS, 0)!;
+        const placement = load.tryChoose(upstreams, demand, CONTEXT, 0)!;
         t.equal(placement.upstream.id, first.upstream.id);
         load.recordFirstByte(load.recordStart(placement, demand, 0), 100);
     }
     t.end();
 });
 
-void t.test("they go elsewhere when the upstream that keeps the part would let them wait", t => {
+void t.test("a prompt goes elsewhere if the upstream that has its part cached is overloaded", t => {
     const load = createLoad();
     const demand = createDemand("p", "x");
-    const first = load.tryChoose(upstreams, demand, TERMS, 0)!;
+    const first = load.tryChoose(upstreams, demand, CONTEXT, 0)!;
     for (let i = 0; i < 10; i++) {
         load.recordStart({ ...first, newTokens: 6_000 }, createDemand(`other-${i}`, "y"), 0);
     }
-    t.not(load.tryChoose(upstreams, demand, TERMS, 0)!.upstream.id, first.upstream.id);
+    t.not(load.tryChoose(upstreams, demand, CONTEXT, 0)!.upstream.id, first.upstream.id);
     t.end();
 });
 
-void t.test("an upstream that cannot be reached rests, and is asked again where no other is left", t => {
+void t.test("an unreachable upstream is paused, and retried if no other is left", t => {
     const load = createLoad();
     const demand = createDemand("p", "x");
-    const first = load.tryChoose(upstreams, demand, TERMS, 0)!.upstream.id;
+    const first = load.tryChoose(upstreams, demand, CONTEXT, 0)!.upstream.id;
     load.recordOutcome({ id: first }, "unreachable", 0);
-    t.not(load.tryChoose(upstreams, demand, TERMS, 100)!.upstream.id, first);
+    t.not(load.tryChoose(upstreams, demand, CONTEXT, 100)!.upstream.id, first);
     const others = new Set(upstreams.map(upstream => upstream.id).filter(id => id !== first));
-    t.equal(load.tryChoose(upstreams, demand, { ...TERMS, tried: others }, 100)!.upstream.id, first);
-    t.equal(load.tryChoose(upstreams, demand, { ...TERMS, tried: new Set([...others, first]) }, 100), undefined);
+    t.equal(load.tryChoose(upstreams, demand, { ...CONTEXT, tried: others }, 100)!.upstream.id, first);
+    t.equal(load.tryChoose(upstreams, demand, { ...CONTEXT, tried: new Set([...others, first]) }, 100), undefined);
     load.recordOutcome({ id: first }, "good", 500);
-    t.equal(load.tryChoose(upstreams, demand, TERMS, 500)!.upstream.id, first);
+    t.equal(load.tryChoose(upstreams, demand, CONTEXT, 500)!.upstream.id, first);
     t.end();
 });
 
-void t.test("an upstream that fails part of its requests gets less", t => {
+void t.test("an upstream that fails some of its requests is avoided", t => {
     const load = createLoad();
     const demand = { promptTokens: 0, parts: [] };
     for (let i = 0; i < 20; i++) {
         load.recordOutcome({ id: "a" }, i % 2 === 0 ? "failed" : "good", i);
     }
-    t.not(load.tryChoose(upstreams, demand, TERMS, 1_000)!.upstream.id, "a");
+    t.not(load.tryChoose(upstreams, demand, CONTEXT, 1_000)!.upstream.id, "a");
     t.end();
 });
 
-void t.test("failures are forgotten with time", t => {
+void t.test("the failure rate decays", t => {
     const load = createLoad();
     const demand = createDemand("p", "x");
-    const first = load.tryChoose(upstreams, demand, TERMS, 0)!.upstream.id;
+    const first = load.tryChoose(upstreams, demand, CONTEXT, 0)!.upstream.id;
     for (let i = 0; i < 20; i++) {
         load.recordOutcome({ id: first }, i % 2 === 0 ? "failed" : "good", i);
     }
-    t.not(load.tryChoose(upstreams, demand, TERMS, 100)!.upstream.id, first);
-    t.equal(load.tryChoose(upstreams, demand, TERMS, 60_000)!.upstream.id, first);
+    t.not(load.tryChoose(upstreams, demand, CONTEXT, 100)!.upstream.id, first);
+    t.equal(load.tryChoose(upstreams, demand, CONTEXT, 60_000)!.upstream.id, first);
     t.end();
 });
 
-void t.test("what other routers have sent is waited for, and what it brought there is kept", t => {
+void t.test("requests of other routers count as load, and their prompt parts as cached", t => {
     const load = createLoad();
     const demand = createDemand("p", "x");
-    const first = load.tryChoose(upstreams, demand, TERMS, 0)!.upstream.id;
+    const first = load.tryChoose(upstreams, demand, CONTEXT, 0)!.upstream.id;
     load.recordOther({ id: first }, 40_000, 0, [], 0);
-    const second = load.tryChoose(upstreams, demand, TERMS, 0)!.upstream.id;
+    const second = load.tryChoose(upstreams, demand, CONTEXT, 0)!.upstream.id;
     t.not(second, first);
     load.recordOther({ id: second }, 6_000, 0, ["p", "y"], 0);
-    const third = load.tryChoose(upstreams, demand, TERMS, 2_000)!;
+    const third = load.tryChoose(upstreams, demand, CONTEXT, 2_000)!;
     t.equal(third.upstream.id, second);
-    t.equal(third.newTokens, 1_000, "the shared part is kept");
+    t.equal(third.newTokens, 1_000, "the shared part is cached");
     t.end();
 });
 
-void t.test("a long prompt goes where no streams run, and streams then go elsewhere", t => {
+void t.test("a long prompt goes to an upstream without streams, and streams then go elsewhere", t => {
     const load = createLoad();
     const short = { promptTokens: 200, parts: [{ id: "s", tokens: 200 }] };
     for (const upstream of upstreams.slice(0, 3)) {
@@ -123,35 +123,39 @@
         }
     }
     const long = { promptTokens: 40_000, parts: [{ id: "l", tokens: 40_000 }] };
-    const placement = load.tryChoose(upstreams, long, TERMS, 0)!;
+    const placement = load.tryChoose(upstreams, long, CONTEXT, 0)!;
     t.equal(placement.upstream.id, "d");
-    t.equal(placement.beyondMs, 550, "800 ms of reading where 250 are comfortable");
+    t.equal(placement.beyondMs, 550, "800 ms of prefill where 250 ms are harmless");
     const started = load.recordStart(placement, long, 0);
     load.recordFirstByte(started, 900);
     load.recordEnd(started);
     const others = new Set(["a", "b"]);
-    const next = load.tryChoose(upstreams, short, { ...TERMS, tried: others }, 1_000)!;
-    t.equal(next.upstream.id, "c", "though fewer run at d");
+    const next = load.tryChoose(upstreams, short, { ...CONTEXT, tried: others }, 1_000)!;
+    t.equal(next.upstream.id, "c", "though d has fewer active requests");
     t.end();
 });
 
-void t.test("one that starts again under its id keeps no parts and has failed nobody, and its old requests are not its load", t => {
+void t.test("a restarted upstream has no cached parts, failures or load of its earlier incarnation", t => {
     const load = createLoad();
     const demand = createDemand("p", "x");
-    const first = { ...load.tryChoose(upstreams, demand, TERMS, 0)!.upstream, bornAt: 1 };
+    const first = { ...load.tryChoose(upstreams, demand, CONTEXT, 0)!.upstream, bornAt: 1 };
     const placement = { upstream: first, newTokens: 6_000, aheadMs: 0, beyondMs: 0 };
     load.recordFirstByte(load.recordStart(placement, demand, 0), 100);
     for (let i = 0; i < 5; i++) {
         load.recordOutcome(first, "failed", 100);
     }
-    t.equal(load.tryChoose([first], demand, TERMS, 200)!.newTokens, 0);
+    t.equal(load.tryChoose([first], demand, CONTEXT, 200)!.newTokens, 0);
     const again = { ...first, bornAt: 2 };
-    t.equal(load.tryChoose([again], demand, TERMS, 200)!.newTokens, 6_000);
-    t.equal(load.tryChoose([again, first], { promptTokens: 0, parts: [] }, TERMS, 200)!.upstream, again);
+    t.equal(load.tryChoose([again], demand, CONTEXT, 200)!.newTokens, 6_000);
+    t.equal(load.tryChoose([again, first], { promptTokens: 0, parts: [] }, CONTEXT, 200)!.upstream, again);
     load.recordOther({ id: first.id, bornAt: 1 }, 6_000, 0, ["p", "x"], 200);
-    t.equal(load.tryChoose([again], demand, TERMS, 200)!.newTokens, 6_000, "what others tell of the earlier life");
+    t.equal(
+        load.tryChoose([again], demand, CONTEXT, 200)!.newTokens,
+        6_000,
+        "reports of other routers on the earlier incarnation",
+    );
     load.recordEnd(placement);
     load.forgetExcept(new Set([`${first.id}@2`]));
-    t.equal(load.tryChoose([first], demand, TERMS, 200)!.newTokens, 6_000, "the earlier life is forgotten");
+    t.equal(load.tryChoose([first], demand, CONTEXT, 200)!.newTokens, 6_000, "the earlier incarnation was evicted");
     t.end();
 });
