--- a/src/domain/upstreamLoad.ts
+++ b/src/domain/upstreamLoad.ts
@@ -70,9 +70,9 @@
 interface Load {
     activeRequests: number;
     readonly speed: ReadingSpeed;
-    readonly reading: ReadingQueue;
+    readonly prefillQueue: ReadingQueue;
     /** Rate of prefill time beyond the harmless length, in milliseconds per second. */
-    readonly disturbance: MovingRate;
+    readonly excessPrefillRate: MovingRate;
     /** Ids of the prompt parts that were sent to the upstream, least recently used first. */
     readonly cachedParts: Set<string>;
     /** Fraction of requests that failed, as of `failureRateAt`. */
@@ -144,7 +144,7 @@
         const newTokens = this.countNewTokens(upstream, demand);
         const prefillMs = newTokens * load.speed.msPerToken;
         const beyondMs = Math.max(0, Math.round(prefillMs - this.getMaxHarmlessPrefillMs(context)));
-        return { upstream, newTokens, aheadMs: load.reading.getBacklogMs(now), beyondMs };
+        return { upstream, newTokens, aheadMs: load.prefillQueue.getBacklogMs(now), beyondMs };
     }
 
     /** Returns the longest prefill that does not harm concurrent streams. */
@@ -155,9 +155,9 @@
     recordStart(placement: Placement, demand: RequestDemand, now: number): StartedPlacement {
         const load = this.getLoad(placement.upstream);
         load.activeRequests += 1;
-        load.disturbance.add(placement.beyondMs, now);
+        load.excessPrefillRate.add(placement.beyondMs, now);
         this.addCachedParts(load, demand.parts.map(part => part.id));
-        return { ...placement, prompt: load.reading.add(placement.newTokens, now) };
+        return { ...placement, prompt: load.prefillQueue.add(placement.newTokens, now) };
     }
 
     /** Records a request that another router sent. */
@@ -169,19 +169,19 @@
         now: number,
     ): void {
         const load = this.getLoad(upstream);
-        load.disturbance.add(beyondMs, now);
+        load.excessPrefillRate.add(beyondMs, now);
         this.addCachedParts(load, parts);
-        load.reading.addOther(newTokens, now);
+        load.prefillQueue.addOther(newTokens, now);
     }
 
     /** Records that a response has begun, which shows that the prefill is complete. */
     recordFirstByte(placement: StartedPlacement, now: number): void {
-        this.getLoad(placement.upstream).reading.recordRead(placement.prompt, now);
+        this.getLoad(placement.upstream).prefillQueue.recordRead(placement.prompt, now);
     }
 
     /** Records that a request ended before its response began. */
     recordUnanswered(placement: StartedPlacement): void {
-        this.getLoad(placement.upstream).reading.recordDropped(placement.prompt);
+        this.getLoad(placement.upstream).prefillQueue.recordDropped(placement.prompt);
     }
 
     /** Records the end of a request, whatever its outcome. */
@@ -236,12 +236,12 @@
         const load = this.getLoad(upstream);
         const { waitWeight, runningCostMs, otherZoneCostMs, failureCostMs, disturbanceWeight } = this.options;
         const prefillMs = newTokens * load.speed.msPerToken;
-        const waitMs = load.reading.getBacklogMs(now);
+        const waitMs = load.prefillQueue.getBacklogMs(now);
         // Assumes that each router sends about as many requests as this one.
         const activeRequests = load.activeRequests * context.routers;
         return prefillMs + waitMs * waitWeight
             + this.estimateInterferenceCostMs(prefillMs + waitMs, activeRequests, context)
-            + load.disturbance.getRate(now) * disturbanceWeight
+            + load.excessPrefillRate.getRate(now) * disturbanceWeight
             + activeRequests / Math.max(1, upstream.slots) * runningCostMs
             + this.getFailureRate(load, now) * failureCostMs
             + (upstream.zone === this.zone ? 0 : otherZoneCostMs);
@@ -306,8 +306,8 @@
             load = {
                 activeRequests: 0,
                 speed,
-                reading: new ReadingQueue(speed),
-                disturbance: new MovingRate(this.options.disturbanceHalfLifeMs),
+                prefillQueue: new ReadingQueue(speed),
+                excessPrefillRate: new MovingRate(this.options.disturbanceHalfLifeMs),
                 cachedParts: new Set(),
                 failureRate: 0,
                 failureRateAt: 0,
--- a/src/domain/upstreamRegistry.ts
+++ b/src/domain/upstreamRegistry.ts
@@ -225,13 +225,13 @@
 
     /** Returns all upstreams with their age at `now`. */
     list(now: number): HeardRegistration[] {
-        return [...this.entries.values()].map(entry => createHeard(entry, now));
+        return [...this.entries.values()].map(entry => createHeardRegistration(entry, now));
     }
 
     /** Returns an upstream with its age at `now`; undefined if it was evicted or has a newer incarnation. */
     tryGetHeard(incarnation: UpstreamLife, now: number): HeardRegistration | undefined {
         const entry = this.tryGetEntry(incarnation);
-        return entry === undefined ? undefined : createHeard(entry, now);
+        return entry === undefined ? undefined : createHeardRegistration(entry, now);
     }
 
     /** Returns the upstreams of a service that own their address, accept new work and reported within `maxAgeMs`. */
@@ -339,7 +339,7 @@
     }
 }
 
-function createHeard(
+function createHeardRegistration(
     { registration, heardAt, limitPerSecond, limitSaidAt }: Entry,
     now: number,
 ): HeardRegistration {
