--- a/src/domain/upstreamEndBook.ts
+++ b/src/domain/upstreamEndBook.ts
@@ -1,10 +1,10 @@
-/** The upstreams that ended lately with requests under way, as the replicated log records them. */
+/** Recent upstream ends and the requests they interrupted, as replicated through the log. */
 import {
-    countLivesByMoment,
+    countEndsByMoment,
     type EndSuspect,
     findSuspects,
-    gatherByRequest,
-    SUSPECT_MOMENTS,
+    groupByRequest,
+    MIN_SUSPECT_MOMENTS,
     type UpstreamEnd,
 } from "./endSuspects.js";
 import type {
@@ -13,21 +13,17 @@
     RecordUpstreamEndCommand,
 } from "./upstreamEndCommands.js";
 
-/**
- * Most ends that are remembered, the oldest given up: ten times as many as one request has brought about within seconds on a
- * small deployment. With 256 requests each of 25 bytes, a snapshot of 0.8 MB at the worst.
- */
-const MOST_ENDS = 128;
-/** Most requests that are remembered of one end, over all routers. */
-const MOST_REQUESTS = 256;
+/** Retained ends; the oldest are evicted. Bounds a snapshot to about 0.8 MB. */
+const MAX_ENDS = 128;
+/** Retained requests of one end, over the reports of all routers. */
+const MAX_REQUESTS_PER_END = 256;
 
 interface RecordedEnd extends UpstreamEnd {
-    /** Of the entry that recorded it first. */
+    /** Log index of the entry that first recorded the end. */
     readonly index: number;
     readonly requests: Map<string, boolean>;
 }
 
-/** Plain data of the book. */
 export interface UpstreamEndSnapshot {
     readonly lastIndex: number;
     readonly lastMoment: number;
@@ -40,9 +36,9 @@
 }
 
 export class UpstreamEndBook {
-    /** By the key of the life, oldest first. */
+    /** Keyed by the incarnation of the upstream, oldest first. */
     private ends = new Map<string, RecordedEnd>();
-    /** The same by request, so that what one entry changes costs no look at all of them. */
+    /** Inverted index from fingerprint to ends, so that applying an entry does not scan all ends. */
     private byRequest = new Map<string, RecordedEnd[]>();
     private lastMoment = 0;
     private lastIndex = 0;
@@ -53,10 +49,10 @@
         for (const { fingerprint, hasBegun } of requests) {
             this.addRequest(end, fingerprint, hasBegun);
         }
-        while (this.ends.size > MOST_ENDS) {
+        while (this.ends.size > MAX_ENDS) {
             this.removeEnd(this.ends.values().next().value!);
         }
-        this.noteChange(index);
+        this.recordChange(index);
     }
 
     applyClear({ fingerprints }: ClearRequestsCommand, index: number): void {
@@ -64,15 +60,15 @@
             this.byRequest.get(fingerprint)?.forEach(end => end.requests.delete(fingerprint));
             this.byRequest.delete(fingerprint);
         }
-        this.noteChange(index);
+        this.recordChange(index);
     }
 
     applyForget({ upTo }: ForgetUpstreamEndsCommand, index: number): void {
         [...this.ends.values()].filter(end => end.index <= upTo).forEach(end => this.removeEnd(end));
-        this.noteChange(index);
+        this.recordChange(index);
     }
 
-    /** Index of the entry that changed the book last; 0 before the first. */
+    /** Log index of the last entry applied; 0 before the first. */
     getLastIndex(): number {
         return this.lastIndex;
     }
@@ -81,12 +77,12 @@
         return this.suspects;
     }
 
-    /** Index of the entry that first recorded the end of a life; undefined where it is not remembered. */
+    /** Log index of the entry that first recorded the end of `life`; undefined if it is not retained. */
     tryGetIndex(life: string): number | undefined {
         return this.ends.get(life)?.index;
     }
 
-    /** Indexes of the entries that recorded ends, oldest first. */
+    /** Log indexes of the entries that recorded the retained ends, oldest first. */
     listIndexes(): number[] {
         return [...this.ends.values()].map(({ index }) => index);
     }
@@ -107,8 +103,8 @@
     loadSnapshot({ lastIndex, lastMoment, ends }: UpstreamEndSnapshot): void {
         this.lastMoment = lastMoment;
         this.ends = new Map(ends.map(end => [end.life, { ...end, requests: new Map(end.requests) }]));
-        this.byRequest = gatherByRequest(this.ends.values());
-        this.noteChange(lastIndex);
+        this.byRequest = groupByRequest(this.ends.values());
+        this.recordChange(lastIndex);
     }
 
     private addEnd(life: string, togetherWith: string | undefined, index: number): RecordedEnd {
@@ -123,12 +119,12 @@
     }
 
     private addRequest(end: RecordedEnd, fingerprint: string, hasBegun: boolean): void {
-        const known = end.requests.get(fingerprint);
-        if (known === undefined && end.requests.size >= MOST_REQUESTS) {
+        const previous = end.requests.get(fingerprint);
+        if (previous === undefined && end.requests.size >= MAX_REQUESTS_PER_END) {
             return;
         }
-        end.requests.set(fingerprint, hasBegun || known === true);
-        if (known === undefined) {
+        end.requests.set(fingerprint, hasBegun || previous === true);
+        if (previous === undefined) {
             this.byRequest.set(fingerprint, [...this.byRequest.get(fingerprint) ?? [], end]);
         }
     }
@@ -136,9 +132,9 @@
     private removeEnd(end: RecordedEnd): void {
         this.ends.delete(end.life);
         for (const fingerprint of end.requests.keys()) {
-            const left = this.byRequest.get(fingerprint)!.filter(other => other !== end);
-            if (left.length > 0) {
-                this.byRequest.set(fingerprint, left);
+            const remaining = this.byRequest.get(fingerprint)!.filter(other => other !== end);
+            if (remaining.length > 0) {
+                this.byRequest.set(fingerprint, remaining);
             }
             else {
                 this.byRequest.delete(fingerprint);
@@ -146,10 +142,10 @@
         }
     }
 
-    private noteChange(index: number): void {
+    private recordChange(index: number): void {
         this.lastIndex = index;
-        // Few requests are at more than one end. With the most that is remembered an entry takes 1.6 ms, 16 ms with all judged.
-        const repeated = [...this.byRequest].filter(([, ends]) => ends.length >= SUSPECT_MOMENTS);
-        this.suspects = findSuspects(repeated, countLivesByMoment(this.ends.values()));
+        // Few requests were present at several ends; skipping the others keeps this cheap on every entry.
+        const repeated = [...this.byRequest].filter(([, ends]) => ends.length >= MIN_SUSPECT_MOMENTS);
+        this.suspects = findSuspects(repeated, countEndsByMoment(this.ends.values()));
     }
 }
--- a/test/domain/endSuspects.test.ts
+++ b/test/domain/endSuspects.test.ts
@@ -1,114 +1,124 @@
-/** Which requests count as the cause of upstreams' ends, and that innocent ones are not refused for them. */
+/** Poison requests are identified as culprits, and innocent requests are not refused for them. */
 import t from "tap";
 import {
-    countLivesByMoment,
+    countEndsByMoment,
     type EndSuspect,
     findSuspects,
-    gatherByRequest,
+    groupByRequest,
     type UpstreamEnd,
 } from "../../src/domain/endSuspects.js";
-import { type EndWorldOptions, type EndWorldResult, runEndWorld } from "../tools/endWorld.js";
+import {
+    simulateUpstreamEnds,
+    type UpstreamEndSimulationOptions,
+    type UpstreamEndSimulationResult,
+} from "../tools/endWorld.js";
 
 const SEEDS = 20;
-/** Every twentieth caller sends four copies at once; one engine of eight ends each 2 s, and a quarter each 10 s. */
-const ORDINARY: Omit<EndWorldOptions, "seed"> = {
+/** Every twentieth request is sent four times at once; one engine of eight ends each 2 s, and a quarter of them each 10 s. */
+const BASE_OPTIONS: Omit<UpstreamEndSimulationOptions, "seed"> = {
     engines: 8,
     requestsPerSecond: 40,
-    abuserEvery: 20,
+    duplicateEvery: 20,
     endPeriodMs: 2_000,
-    deadlyPerSecond: 0,
+    poisonPerSecond: 0,
     culpritMoments: 3,
     sameMomentMs: 60,
 };
 
-/** `life` may name the moment after a colon; else each life ended at a moment of its own. `begun`: requests that had begun. */
-function createEnds(lists: Record<string, string>, begun = ""): UpstreamEnd[] {
-    return Object.entries(lists).map(([life, names], i) => ({
+/**
+ * Keys are lives, optionally with a moment after a colon; by default each life has its own moment. Each letter of a value is a
+ * request.
+ */
+function createEnds(requestsByLife: Record<string, string>, startedRequests = ""): UpstreamEnd[] {
+    return Object.entries(requestsByLife).map(([life, names], i) => ({
         life,
         moment: Number(life.split(":")[1] ?? i + 100),
-        requests: new Map(names.split("").map(name => [name, begun.includes(name)])),
+        requests: new Map(names.split("").map(name => [name, startedRequests.includes(name)])),
     }));
 }
 
-function findAll(ends: UpstreamEnd[]): EndSuspect[] {
-    return findSuspects(gatherByRequest(ends), countLivesByMoment(ends));
+function listSuspects(ends: UpstreamEnd[]): EndSuspect[] {
+    return findSuspects(groupByRequest(ends), countEndsByMoment(ends));
 }
 
 function findCulprits(ends: UpstreamEnd[]): string {
-    return findAll(ends).filter(({ isCulprit }) => isCulprit).map(({ fingerprint }) => fingerprint).sort().join(
+    return listSuspects(ends).filter(({ isCulprit }) => isCulprit).map(({ fingerprint }) => fingerprint).sort().join(
         "",
     );
 }
 
-void t.test("a request that was there at three moments is the cause; at two it is watched", async t => {
+void t.test("a request that is present at three moments is a culprit, at two moments a suspect", async t => {
     t.equal(findCulprits(createEnds({ a: "px", b: "py", c: "pz" })), "p");
     t.equal(findCulprits(createEnds({ a: "px", b: "py" })), "");
-    t.same(findAll(createEnds({ a: "px", b: "py" })).map(({ fingerprint }) => fingerprint), ["p"]);
+    t.same(listSuspects(createEnds({ a: "px", b: "py" })).map(({ fingerprint }) => fingerprint), ["p"]);
 });
 
-void t.test("what was there by chance beside the cause is not held for one", async t => {
+void t.test("a request that is present by chance is not a culprit", async t => {
     t.equal(findCulprits(createEnds({ a: "pi", b: "pi", c: "pi", d: "p" })), "p");
-    t.equal(findCulprits(createEnds({ a: "pi", b: "pi", c: "pi" }, "p")), "p", "it had not begun to run");
-    t.equal(findCulprits(createEnds({ a: "pi", b: "pi", c: "pqi", d: "pq", e: "q", f: "q" })), "pq", "two causes");
+    t.equal(findCulprits(createEnds({ a: "pi", b: "pi", c: "pi" }, "p")), "p", "the other had not started");
+    t.equal(findCulprits(createEnds({ a: "pi", b: "pi", c: "pqi", d: "pq", e: "q", f: "q" })), "pq", "two culprits");
 });
 
-void t.test("of two that were always there together none is refused until one more end tells them apart", async t => {
+void t.test("of two requests with the same ends, neither is a culprit until one more end distinguishes them", async t => {
     const together = { a: "pi", b: "pi", c: "pi" };
     t.equal(findCulprits(createEnds(together)), "");
     t.equal(findCulprits(createEnds({ ...together, d: "p" })), "p");
-    t.equal(findCulprits(createEnds({ ...together, d: "pi" })), "ip", "nor can it be waited for without end");
-    t.equal(findCulprits(createEnds({ a: "p", b: "p", c: "p", d: "q", e: "q", f: "q" })), "pq", "they never met");
+    t.equal(findCulprits(createEnds({ ...together, d: "pi" })), "ip", "both are culprits if it does not");
+    t.equal(
+        findCulprits(createEnds({ a: "p", b: "p", c: "p", d: "q", e: "q", f: "q" })),
+        "pq",
+        "two culprits without a shared end",
+    );
 });
 
-void t.test("ends at one moment count once: a box that ends with all its upstreams is no request's doing", async t => {
+void t.test("ends at one moment count once, such as those of all upstreams of a failed box", async t => {
     t.equal(findCulprits(createEnds({ "a:1": "i", "b:1": "i", "c:1": "i", "d:2": "i" })), "");
-    t.equal(findCulprits(createEnds({ "a:1": "p", "b:1": "p", "c:2": "p", "d:3": "p" })), "p", "copies of a cause");
+    t.equal(findCulprits(createEnds({ "a:1": "p", "b:1": "p", "c:2": "p", "d:3": "p" })), "p", "copies of a culprit");
 });
 
-void t.test("what was at some only of the upstreams that ended at one moment has not ended the others", async t => {
+void t.test("a moment does not count for a request that was present at only some of its ends", async t => {
     t.equal(findCulprits(createEnds({ "a:1": "i", "b:1": "x", "c:2": "i", "d:3": "i" })), "");
     t.equal(findCulprits(createEnds({ "a:1": "i", "b:1": "x", "c:2": "i", "d:3": "i", "e:4": "i" })), "i");
 });
 
-void t.test("the order in which ends were recorded does not matter", async t => {
+void t.test("the result does not depend on the recording order", async t => {
     const ends = createEnds({ a: "pix", b: "piy", c: "pqi", d: "pq", e: "q" }, "pq");
     for (let i = 0; i < ends.length; i++) {
-        const turned = [...ends.slice(i), ...ends.slice(0, i)];
-        t.equal(findCulprits(turned), findCulprits(ends));
-        t.equal(findCulprits(turned.reverse()), "p", "what it does not explain of the other's ends is too little");
+        const rotated = [...ends.slice(i), ...ends.slice(0, i)];
+        t.equal(findCulprits(rotated), findCulprits(ends));
+        t.equal(findCulprits(rotated.reverse()), "p", "too few unexplained ends are left for the other");
     }
 });
 
-function runSeeds(options: Partial<EndWorldOptions>): EndWorldResult[] {
-    return Array.from({ length: SEEDS }, (_, i) => runEndWorld({ ...ORDINARY, ...options, seed: i + 1 }));
+function runSeeds(options: Partial<UpstreamEndSimulationOptions>): UpstreamEndSimulationResult[] {
+    return Array.from({ length: SEEDS }, (_, i) => simulateUpstreamEnds({ ...BASE_OPTIONS, ...options, seed: i + 1 }));
 }
 
-function sum(results: readonly EndWorldResult[], field: keyof EndWorldResult): number {
+function sum(results: readonly UpstreamEndSimulationResult[], field: keyof UpstreamEndSimulationResult): number {
     return results.reduce((total, result) => total + result[field], 0);
 }
 
-// Where two moments are enough, 61 of 48,091 are refused on the first load and 7 of 119,833 on the second.
-void t.test("innocent requests are not refused where upstreams end for reasons of their own", async t => {
+void t.test("innocent requests are not refused if upstreams end for unrelated reasons", async t => {
     const small = runSeeds({});
     t.equal(sum(small, "innocentsRefused"), 0, `of ${sum(small, "innocents")}`);
     const large = runSeeds({ engines: 50, requestsPerSecond: 100 });
     t.equal(sum(large, "innocentsRefused"), 0, `of ${sum(large, "innocents")}`);
 });
 
-// In seed 1 a caller's four copies are at each of the six upstreams that the deadly request ends within 1.7 s: traced, nothing
-// tells the two apart until a copy is answered whole. One of 95,789 innocent requests in all.
-void t.test("a request that ends its upstreams is refused after few ends, and no other beside it", async t => {
-    const loads = [{ endPeriodMs: Infinity, deadlyPerSecond: 4 }, { endPeriodMs: 3_000, deadlyPerSecond: 4 }];
+// In seed 1 the four copies of one request are present at each upstream that the poison request ends, so nothing distinguishes
+// the two.
+void t.test("a poison request is refused after a few ends, and no other request is", async t => {
+    const loads = [{ endPeriodMs: Infinity, poisonPerSecond: 4 }, { endPeriodMs: 3_000, poisonPerSecond: 4 }];
     for (const load of loads) {
         const results = runSeeds(load);
         const refused = sum(results, "innocentsRefused");
         t.equal(
             refused,
-            sum(results, "alwaysThere"),
-            `${refused} of ${sum(results, "innocents")}, told apart by nothing`,
+            sum(results, "indistinguishable"),
+            `${refused} of ${sum(results, "innocents")}, none distinguishable from the poison request`,
         );
         t.ok(refused <= 1);
-        t.ok(results.every(({ deadlyEnds }) => deadlyEnds <= 8), "three, and what was under way");
-        t.ok(results.every(({ deadlyRefused }) => deadlyRefused > 150));
+        t.ok(results.every(({ poisonEnds }) => poisonEnds <= 8), "three, and those of runs in flight");
+        t.ok(results.every(({ poisonRefused }) => poisonRefused > 150));
     }
 });
--- a/test/domain/upstreamEndBook.test.ts
+++ b/test/domain/upstreamEndBook.test.ts
@@ -1,4 +1,4 @@
-/** What the log remembers of upstreams that ended: the same in any order and however often it is told, and bounded. */
+/** Recorded upstream ends are independent of order and repetition, and bounded in memory. */
 import t from "tap";
 import { UpstreamEndBook } from "../../src/domain/upstreamEndBook.js";
 import type { RecordUpstreamEndCommand } from "../../src/domain/upstreamEndCommands.js";
@@ -12,7 +12,7 @@
     return book.getSuspects().map(({ fingerprint, isCulprit }) => `${fingerprint}${isCulprit ? "!" : ""}`);
 }
 
-void t.test("what several routers tell of one end is one end, however often it is told", async t => {
+void t.test("repeated reports of one end by several routers count as one end", async t => {
     const book = new UpstreamEndBook();
     [createRecord("a", "p"), createRecord("a", "xp", true), createRecord("a", "p")].forEach((record, i) =>
         book.applyRecord(record, i + 1)
@@ -23,7 +23,7 @@
     t.same(listSuspects(book), ["p!"]);
 });
 
-void t.test("ends of one moment count once", async t => {
+void t.test("ends at one moment count once", async t => {
     const book = new UpstreamEndBook();
     book.applyRecord(createRecord("a", "p"), 1);
     book.applyRecord(createRecord("x", "q"), 2);
@@ -33,7 +33,7 @@
     t.same(listSuspects(book), ["p"]);
 });
 
-void t.test("a whole answer clears a request; ends that are long ago count no more", async t => {
+void t.test("a complete answer clears a request, and expired ends do not count", async t => {
     const book = new UpstreamEndBook();
     ["a", "b", "c"].forEach((life, i) => book.applyRecord(createRecord(life, "pi"), i + 1));
     book.applyClear({ type: "clearRequests", fingerprints: ["i"] }, 4);
@@ -44,7 +44,7 @@
     t.equal(book.getLastIndex(), 5);
 });
 
-void t.test("a snapshot holds all of it", async t => {
+void t.test("a snapshot restores the whole state", async t => {
     const book = new UpstreamEndBook();
     ["a", "b", "c"].forEach((life, i) => book.applyRecord(createRecord(life, "pi", life === "a"), i + 1));
     const copy = new UpstreamEndBook();
@@ -53,7 +53,7 @@
     t.same(listSuspects(copy), listSuspects(book));
 });
 
-void t.test("callers who make up requests cannot fill the memory, nor get another account's request refused", async t => {
+void t.test("made-up requests neither exhaust memory nor get another account's request refused", async t => {
     const book = new UpstreamEndBook();
     for (let i = 0; i < 1_000; i++) {
         const requests = Array.from({ length: 256 }, (_, j) => ({ fingerprint: `${i} ${j}`, hasBegun: true }));
--- a/test/tools/endWorld.ts
+++ b/test/tools/endWorld.ts
@@ -1,62 +1,60 @@
 /**
- * Engines that end, and callers whose requests were there, in simulated time: who is refused for it. One engine ends each
- * `endPeriodMs` for reasons of its own, several at once now and then, and a deadly request ends whatever runs it.
+ * Simulates engines that end and the callers whose requests they interrupt, to measure which requests are refused. One engine
+ * ends each `endPeriodMs` for unrelated reasons, sometimes several at once, and a poison request ends each engine that runs it.
  */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import { countLivesByMoment, findSuspects, gatherByRequest, type UpstreamEnd } from "../../src/domain/endSuspects.js";
+import { countEndsByMoment, findSuspects, groupByRequest, type UpstreamEnd } from "../../src/domain/endSuspects.js";
 
-export interface EndWorldOptions {
+export interface UpstreamEndSimulationOptions {
     readonly seed: number;
     readonly engines: number;
-    /** Innocent requests a second; every `abuserEvery`th comes four times at once. */
+    /** Innocent requests per second. Each `duplicateEvery`th is sent several times at once. */
     readonly requestsPerSecond: number;
-    readonly abuserEvery: number;
-    /** Between engines that end for reasons of their own; of these, every fifth time a quarter of all ends at once. */
+    readonly duplicateEvery: number;
+    /** Interval between unrelated ends. Each fifth time, a quarter of the engines end at once. */
     readonly endPeriodMs: number;
-    /** Tries a second of the deadly request; 0 for none. */
-    readonly deadlyPerSecond: number;
+    /** Poison requests per second; 0 for none. */
+    readonly poisonPerSecond: number;
     readonly culpritMoments: number;
-    /** Ends within this time are one moment. Milliseconds. */
+    /** Ends within this time belong to one moment, in milliseconds. */
     readonly sameMomentMs: number;
 }
 
-export interface EndWorldResult {
+export interface UpstreamEndSimulationResult {
     readonly innocents: number;
-    /** Innocent requests that were refused at least once. */
+    /** Innocent requests refused at least once. */
     readonly innocentsRefused: number;
-    /** Those of them that were at every end that the deadly request brought about, so that nothing tells them from it. */
-    readonly alwaysThere: number;
-    /** Ends of engines that the deadly request brought about. */
-    readonly deadlyEnds: number;
-    readonly deadlyRefused: number;
+    /** Refused innocent requests that were present at every end caused by the poison request. */
+    readonly indistinguishable: number;
+    /** Engine ends caused by the poison request. */
+    readonly poisonEnds: number;
+    readonly poisonRefused: number;
 }
 
 const STEP_MS = 5;
-const LENGTH_MS = 60_000;
+const DURATION_MS = 60_000;
 const RESTART_MS = 4_000;
-const DEADLY = "deadly";
-/** How long innocent requests run, and how soon the deadly one ends its engine. Milliseconds. */
-const SHORTEST_MS = 200;
-const LONGEST_MS = 2_500;
-const DEADLY_SHORTEST_MS = 50;
-const DEADLY_LONGEST_MS = 1_000;
-/** From an end to when all routers go by it, and until a caller comes back. Milliseconds. */
-const TOLD_AFTER_MS = 60;
-const RETURN_AFTER_MS = 300;
-const SENDINGS_A_TRY = 2;
-const TRIES = 2;
-const COPIES_OF_ABUSER = 4;
+const POISON = "poison";
+const MIN_RUN_MS = 200;
+const MAX_RUN_MS = 2_500;
+const POISON_MIN_RUN_MS = 50;
+const POISON_MAX_RUN_MS = 1_000;
+const REPORT_DELAY_MS = 60;
+const CALLER_RETRY_DELAY_MS = 300;
+const ATTEMPTS_PER_TRY = 2;
+const MAX_CALLER_TRIES = 2;
+const DUPLICATE_COPIES = 4;
 
 interface Run {
     readonly fingerprint: string;
-    readonly tryNumber: number;
-    readonly sending: number;
+    readonly callerTry: number;
+    readonly attempt: number;
     readonly endsAt: number;
 }
 
 interface Engine {
-    life: number;
-    deadUntil: number;
+    incarnation: number;
+    downUntil: number;
     runs: Run[];
 }
 
@@ -64,12 +62,11 @@
     readonly requests: Map<string, boolean>;
 }
 
-/** Plays one minute. */
-export function runEndWorld(options: EndWorldOptions): EndWorldResult {
-    return new EndWorld(options).run();
+export function simulateUpstreamEnds(options: UpstreamEndSimulationOptions): UpstreamEndSimulationResult {
+    return new UpstreamEndSimulation(options).run();
 }
 
-class EndWorld {
+class UpstreamEndSimulation {
     private now = 0;
     private readonly random: () => number;
     private readonly engines: Engine[];
@@ -80,142 +77,145 @@
     private lastEndAt = -Infinity;
     private innocents = 0;
     private readonly refused = new Set<string>();
-    private readonly alwaysThere = new Set<string>();
-    private deadlyEnds = 0;
-    private deadlyRefused = 0;
-    private readonly due: { readonly at: number; readonly act: () => void; }[] = [];
+    private readonly indistinguishable = new Set<string>();
+    private poisonEnds = 0;
+    private poisonRefused = 0;
+    private readonly scheduled: { readonly at: number; readonly act: () => void; }[] = [];
 
-    constructor(private readonly options: EndWorldOptions) {
+    constructor(private readonly options: UpstreamEndSimulationOptions) {
         const generator = xoroshiro128plus(options.seed);
         this.random = () => (generator.next() >>> 0) / 2 ** 32;
-        this.engines = Array.from({ length: options.engines }, () => ({ life: 0, deadUntil: 0, runs: [] }));
+        this.engines = Array.from({ length: options.engines }, () => ({ incarnation: 0, downUntil: 0, runs: [] }));
     }
 
-    run(): EndWorldResult {
-        const { requestsPerSecond, deadlyPerSecond, endPeriodMs } = this.options;
+    run(): UpstreamEndSimulationResult {
+        const { requestsPerSecond, poisonPerSecond, endPeriodMs } = this.options;
         let ends = 0;
-        for (; this.now < LENGTH_MS; this.now += STEP_MS) {
-            this.runDue();
+        for (; this.now < DURATION_MS; this.now += STEP_MS) {
+            this.runScheduled();
             if (this.random() < requestsPerSecond * STEP_MS / 1_000) {
                 this.sendInnocent();
             }
-            if (this.random() < deadlyPerSecond * STEP_MS / 1_000) {
-                this.send(DEADLY, 1, 1);
+            if (this.random() < poisonPerSecond * STEP_MS / 1_000) {
+                this.send(POISON, 1, 1);
             }
             if (this.now > ends * endPeriodMs) {
                 ends += 1;
-                this.endSome(ends % 5 === 0 ? Math.ceil(this.engines.length / 4) : 1);
+                this.endRandomEngines(ends % 5 === 0 ? Math.ceil(this.engines.length / 4) : 1);
             }
             this.engines.forEach(engine => this.advance(engine));
         }
-        const { innocents, deadlyEnds, deadlyRefused } = this;
+        const { innocents, poisonEnds, poisonRefused } = this;
         return {
             innocents,
             innocentsRefused: this.refused.size,
-            alwaysThere: this.alwaysThere.size,
-            deadlyEnds,
-            deadlyRefused,
+            indistinguishable: this.indistinguishable.size,
+            poisonEnds,
+            poisonRefused,
         };
     }
 
-    private runDue(): void {
-        const due = this.due.filter(entry => entry.at <= this.now);
-        due.forEach(entry => this.due.splice(this.due.indexOf(entry), 1));
-        due.forEach(entry => entry.act());
+    private runScheduled(): void {
+        const ready = this.scheduled.filter(entry => entry.at <= this.now);
+        ready.forEach(entry => this.scheduled.splice(this.scheduled.indexOf(entry), 1));
+        ready.forEach(entry => entry.act());
     }
 
     private sendInnocent(): void {
         this.innocents += 1;
-        const copies = this.innocents % this.options.abuserEvery === 0 ? COPIES_OF_ABUSER : 1;
+        const copies = this.innocents % this.options.duplicateEvery === 0 ? DUPLICATE_COPIES : 1;
         for (let i = 0; i < copies; i++) {
             this.send(`innocent ${this.innocents}`, 1, 1);
         }
     }
 
-    private send(fingerprint: string, tryNumber: number, sending: number): void {
-        const isDeadly = fingerprint === DEADLY;
+    private send(fingerprint: string, callerTry: number, attempt: number): void {
+        const isPoison = fingerprint === POISON;
         if (this.culprits.has(fingerprint)) {
-            this.deadlyRefused += isDeadly ? 1 : 0;
-            if (!isDeadly) {
+            this.poisonRefused += isPoison ? 1 : 0;
+            if (!isPoison) {
                 this.recordRefused(fingerprint);
             }
             return;
         }
-        const live = this.engines.filter(engine => engine.deadUntil <= this.now);
+        const live = this.engines.filter(engine => engine.downUntil <= this.now);
         const engine = live[Math.floor(this.random() * live.length)];
-        const [shortest, longest] = isDeadly
-            ? [DEADLY_SHORTEST_MS, DEADLY_LONGEST_MS]
-            : [SHORTEST_MS, LONGEST_MS];
+        const [shortest, longest] = isPoison
+            ? [POISON_MIN_RUN_MS, POISON_MAX_RUN_MS]
+            : [MIN_RUN_MS, MAX_RUN_MS];
         const endsAt = this.now + shortest + this.random() * (longest - shortest);
-        engine?.runs.push({ fingerprint, tryNumber, sending, endsAt });
+        engine?.runs.push({ fingerprint, callerTry, attempt, endsAt });
     }
 
     private recordRefused(fingerprint: string): void {
         this.refused.add(fingerprint);
-        const deadly = this.ends.filter(end => end.requests.has(DEADLY));
-        if (deadly.length > 0 && deadly.every(end => end.requests.has(fingerprint))) {
-            this.alwaysThere.add(fingerprint);
+        const poisonedEnds = this.ends.filter(end => end.requests.has(POISON));
+        if (poisonedEnds.length > 0 && poisonedEnds.every(end => end.requests.has(fingerprint))) {
+            this.indistinguishable.add(fingerprint);
         }
     }
 
     private advance(engine: Engine): void {
-        const over = engine.runs.filter(run => run.endsAt <= this.now);
-        if (over.some(run => run.fingerprint === DEADLY)) {
-            this.deadlyEnds += 1;
-            this.end(engine);
+        const finished = engine.runs.filter(run => run.endsAt <= this.now);
+        if (finished.some(run => run.fingerprint === POISON)) {
+            this.poisonEnds += 1;
+            this.endEngine(engine);
             return;
         }
         engine.runs = engine.runs.filter(run => run.endsAt > this.now);
-        over.filter(run => this.suspects.has(run.fingerprint)).forEach(run => {
+        finished.filter(run => this.suspects.has(run.fingerprint)).forEach(run => {
             this.ends.forEach(end => end.requests.delete(run.fingerprint));
-            this.judge();
+            this.updateSuspects();
         });
     }
 
-    private endSome(count: number): void {
+    private endRandomEngines(count: number): void {
         for (let i = 0; i < count; i++) {
-            const live = this.engines.filter(engine => engine.deadUntil <= this.now);
+            const live = this.engines.filter(engine => engine.downUntil <= this.now);
             const engine = live[Math.floor(this.random() * live.length)];
             if (engine !== undefined) {
-                this.end(engine);
+                this.endEngine(engine);
             }
         }
     }
 
-    private end(engine: Engine): void {
+    private endEngine(engine: Engine): void {
         this.moment += this.now - this.lastEndAt < this.options.sameMomentMs ? 0 : 1;
         this.lastEndAt = this.now;
         const { runs } = engine;
         const requests = new Map(runs.map(run => [run.fingerprint, true]));
-        const life = `${this.engines.indexOf(engine)}@${engine.life}`;
+        const life = `${this.engines.indexOf(engine)}@${engine.incarnation}`;
         const end = { life, moment: this.moment, requests };
         if (runs.length > 0) {
-            this.due.push({
-                at: this.now + TOLD_AFTER_MS,
+            this.scheduled.push({
+                at: this.now + REPORT_DELAY_MS,
                 act: () => {
                     this.ends.push(end);
-                    this.judge();
+                    this.updateSuspects();
                 },
             });
         }
-        engine.life += 1;
-        engine.deadUntil = this.now + RESTART_MS;
+        engine.incarnation += 1;
+        engine.downUntil = this.now + RESTART_MS;
         engine.runs = [];
-        runs.forEach(run => this.sendAgain(run));
+        runs.forEach(run => this.retry(run));
     }
 
-    private sendAgain({ fingerprint, tryNumber, sending }: Run): void {
-        if (sending < SENDINGS_A_TRY) {
-            this.send(fingerprint, tryNumber, sending + 1);
+    private retry({ fingerprint, callerTry, attempt }: Run): void {
+        if (attempt < ATTEMPTS_PER_TRY) {
+            this.send(fingerprint, callerTry, attempt + 1);
         }
-        else if (tryNumber < TRIES) {
-            this.due.push({ at: this.now + RETURN_AFTER_MS, act: () => this.send(fingerprint, tryNumber + 1, 1) });
+        else if (callerTry < MAX_CALLER_TRIES) {
+            this.scheduled.push({
+                at: this.now + CALLER_RETRY_DELAY_MS,
+                act: () => this.send(fingerprint, callerTry + 1, 1),
+            });
         }
     }
 
-    private judge(): void {
-        const lives = countLivesByMoment(this.ends);
-        const found = findSuspects(gatherByRequest(this.ends), lives, this.options.culpritMoments);
+    private updateSuspects(): void {
+        const endCounts = countEndsByMoment(this.ends);
+        const found = findSuspects(groupByRequest(this.ends), endCounts, this.options.culpritMoments);
         this.suspects = new Set(found.map(({ fingerprint }) => fingerprint));
         this.culprits = new Set(found.filter(({ isCulprit }) => isCulprit).map(({ fingerprint }) => fingerprint));
     }
