--- a/src/domain/identifiers.ts
+++ b/src/domain/identifiers.ts
@@ -1,32 +1,31 @@
-/** How identifiers are made and taken apart. */
+/** Creates and parses identifiers. */
 import { createHash, randomBytes } from "node:crypto";
 
-/** Identifier of one ledger: a controller and the incarnation of its disk. */
+/** A ledger is identified by its controller and the incarnation of its disk. */
 export function getLedgerId(controller: string, incarnation: string): string {
     return `${controller}#${incarnation}`;
 }
 
-/** The controller named in a ledger id. */
 export function getLedgerController(ledgerId: string): string {
     return ledgerId.slice(0, ledgerId.indexOf("#"));
 }
 
-/** A random identifier of 96 bits. */
+/** 96 bits. */
 export function createRandomId(): string {
     return randomBytes(12).toString("hex");
 }
 
-/** A request id: unique for each (client account, idempotency key). */
+/** Unique for each pair of client account and idempotency key. */
 export function createRequestId(account: string, key: string): string {
     return `${account}/${key}`;
 }
 
-/** Digest of a request's body, to tell a resend from a reused key. 128 bits are enough for that. */
+/** 128-bit digest of a request body, to distinguish a retry from a reused idempotency key. */
 export function computeDigest(body: string | Buffer): string {
     return createHash("sha256").update(body).digest("hex").slice(0, 32);
 }
 
-/** JSON with the keys of every object sorted: the same for equal values, whatever order their keys came in. */
+/** Serializes with sorted keys, so that equal values give equal text. */
 export function formatCanonicalJson(value: unknown): string {
     return JSON.stringify(value, (_key, part: unknown) => {
         if (part === undefined || typeof part !== "object" || Array.isArray(part) || !part) {
@@ -36,7 +35,7 @@
     });
 }
 
-/** A 32-bit hash (FNV-1a) for spreading keys. Not for secrets. */
+/** FNV-1a with a final mix, for distributing keys. Not cryptographic. */
 export function computeHash32(text: string): number {
     let hash = 0x811c9dc5;
     for (let i = 0; i < text.length; i++) {
@@ -49,24 +48,23 @@
     return hash >>> 0;
 }
 
-/** The `count` members that win `key` by rendezvous hashing, best first. */
+/** Returns the `count` members with the highest rendezvous hashing scores for `key`, best first. */
 export function chooseByRendezvous(key: string, members: readonly string[], count: number): string[] {
     const scored = members.map(member => ({ member, score: computeHash32(`${key}|${member}`) }));
     scored.sort((a, b) => b.score - a.score || (a.member < b.member ? -1 : 1));
     return scored.slice(0, count).map(entry => entry.member);
 }
 
-/** Identifier of a grant; it names its ledger, so that whoever holds it knows where its usage belongs. */
+/** Includes the ledger, so that usage can be attributed without a lookup. */
 export function createGrantId(ledgerId: string, router: string): string {
     return `${ledgerId}/${router}/${createRandomId()}`;
 }
 
-/** The ledger that gave a grant. */
 export function getGrantLedger(grantId: string): string {
     return grantId.slice(0, grantId.indexOf("/"));
 }
 
-/** How the claims and intents of one start of a router begin. */
+/** Prefix of the owner ids of all claims and intents that one incarnation of a router creates. */
 export function getOwnerPrefix(router: { readonly name: string; readonly incarnation: string; }): string {
     return `${router.name}#${router.incarnation}/`;
 }
--- a/src/domain/requestIndex.ts
+++ b/src/domain/requestIndex.ts
@@ -1,53 +1,53 @@
-/** The request index of one sidecar: which router has claimed a request, and at which sidecar it runs. Soft state. */
+/** In-memory request index of a sidecar: which router claimed a request and which sidecar runs it. Not persisted. */
 import type { ClaimAnswer } from "../protocol/runMethods.js";
 
-/** Claims kept; the oldest go first. */
-export const CLAIMS_KEPT = 200_000;
+/** Retained claims; the least recently updated are evicted. */
+export const MAX_CLAIMS = 200_000;
 
 interface Claim {
     readonly digest: string;
     owner: string;
     sidecar: string | undefined;
-    at: number;
+    updatedAt: number;
 }
 
 export class RequestIndex {
     private readonly claims = new Map<string, Claim>();
 
-    /** `keepMs`: how long a claim outlives its last change. */
-    constructor(private readonly keepMs: number) {}
+    /** `retentionMs`: time after its last update at which a claim expires. */
+    constructor(private readonly retentionMs: number) {}
 
     getSize(): number {
         return this.claims.size;
     }
 
-    /** Claims a request for `owner`, or tells where it stands. */
+    /** Claims a request for `owner`, or reports the state of an existing claim by another owner. */
     claim(requestId: string, digest: string, owner: string, now: number): ClaimAnswer {
-        this.removeOld(now);
-        const known = this.claims.get(requestId);
-        if (known === undefined || known.owner === owner) {
-            this.put(requestId, { digest, owner, sidecar: known?.sidecar, at: now });
+        this.evictClaims(now);
+        const existing = this.claims.get(requestId);
+        if (existing === undefined || existing.owner === owner) {
+            this.setClaim(requestId, { digest, owner, sidecar: existing?.sidecar, updatedAt: now });
             return { type: "claimed" };
         }
-        if (known.sidecar === undefined) {
-            return { type: "pending", digest: known.digest };
+        if (existing.sidecar === undefined) {
+            return { type: "pending", digest: existing.digest };
         }
-        return { type: "dispatched", digest: known.digest, sidecar: known.sidecar };
+        return { type: "dispatched", digest: existing.digest, sidecar: existing.sidecar };
     }
 
-    /** Notes where a request is about to run. */
+    /** Records the sidecar that a request is dispatched to. */
     place(requestId: string, digest: string, owner: string, sidecar: string, now: number): void {
-        this.put(requestId, { digest, owner, sidecar, at: now });
+        this.setClaim(requestId, { digest, owner, sidecar, updatedAt: now });
     }
 
-    /** Gives a claim up. */
+    /** Releases a claim if `owner` still holds it. */
     unclaim(requestId: string, owner: string): void {
         if (this.claims.get(requestId)?.owner === owner) {
             this.claims.delete(requestId);
         }
     }
 
-    /** Gives up the claims of a router that is gone and had not placed them yet: nothing of them ran. */
+    /** Releases the undispatched claims of a disconnected router. None of these requests ran. */
     unclaimUnplaced(ownerPrefix: string): void {
         for (const [requestId, claim] of this.claims) {
             if (claim.sidecar === undefined && claim.owner.startsWith(ownerPrefix)) {
@@ -56,14 +56,14 @@
         }
     }
 
-    private put(requestId: string, claim: Claim): void {
+    private setClaim(requestId: string, claim: Claim): void {
         this.claims.delete(requestId);
         this.claims.set(requestId, claim);
     }
 
-    private removeOld(now: number): void {
+    private evictClaims(now: number): void {
         for (const [requestId, claim] of this.claims) {
-            if (claim.at + this.keepMs > now && this.claims.size <= CLAIMS_KEPT) {
+            if (claim.updatedAt + this.retentionMs > now && this.claims.size <= MAX_CLAIMS) {
                 return;
             }
             this.claims.delete(requestId);
--- a/src/domain/resultCodes.ts
+++ b/src/domain/resultCodes.ts
@@ -1,12 +1,12 @@
 /**
- * The numbered result codes of every refusal and error, as data with stable numbers.
- * A number is never given a second meaning. docs/RESULT-CODES.md is generated from this table.
+ * Result codes of all refusals and errors. Numbers are stable and never reused.
+ * docs/RESULT-CODES.md is generated from this table.
  */
 
-/** Whether anything under the request id ran: "no" is a promise, "unknown" is the absence of one. */
+/** Whether the request ran. "no" is guaranteed; "unknown" means that it may have run. */
 export type Ran = "no" | "unknown" | "yes";
 
-/** One row of the table. `status` is the HTTP status a caller or operator sees. */
+/** `status` is the HTTP status of the response. */
 export interface ResultCode {
     readonly number: number;
     readonly name: string;
@@ -18,7 +18,7 @@
     return { number, name, status, message };
 }
 
-/** Every result code. 1xxx callers' requests, 2xxx operators' changes, 3xxx peers, 4xxx settings and disk. */
+/** 1xxx: caller requests, 2xxx: operator changes, 3xxx: peers, 4xxx: settings and storage, 5xxx: internal. */
 export const ResultCodes = {
     malformedBody: createCode(1001, "malformedBody", 400, "The body is not valid JSON of the expected shape."),
     bodyTooLarge: createCode(1002, "bodyTooLarge", 413, "The body is larger than the limit."),
@@ -136,19 +136,18 @@
     internal: createCode(5001, "internal", 500, "An internal error."),
 } as const satisfies Record<string, ResultCode>;
 
-/** The names of the table. */
 export type ResultName = keyof typeof ResultCodes;
 
-/** A refusal or error on its way to whoever asked. Plain data, so that it crosses process borders unchanged. */
+/** A refusal or error as plain data, so that it can be serialized between processes. */
 export interface Refusal {
     readonly code: ResultName;
     readonly ran: Ran;
     readonly detail?: string;
-    /** When it is worth asking again, in milliseconds from now. */
+    /** Suggested delay before a retry, in milliseconds. */
     readonly retryAfterMs?: number;
 }
 
-/** Builds a refusal. `ran` defaults to "no": callers pass "unknown" wherever that cannot be promised. */
+/** `ran` defaults to "no"; pass "unknown" wherever the request may have run. */
 export function createRefusal(code: ResultName, detail?: string, ran: Ran = "no", retryAfterMs?: number): Refusal {
     return {
         code,
@@ -158,20 +157,20 @@
     };
 }
 
-/** An error that carries a refusal, for places where the language wants something to throw. */
+/** Wraps a refusal to be thrown. */
 export class RefusalError extends Error {
     constructor(readonly refusal: Refusal) {
         super(formatRefusal(refusal));
     }
 }
 
-/** One line for logs and terminals. */
+/** Formats a refusal as one line for logs and terminals. */
 export function formatRefusal(refusal: Refusal): string {
     const row = ResultCodes[refusal.code];
     return `LW${row.number} ${row.name}: ${refusal.detail ?? row.message}`;
 }
 
-/** The refusal inside an unknown error; anything unforeseen becomes `internal` with `ran` unknown. */
+/** Extracts the refusal from an error; any other error becomes `internal` with `ran` unknown. */
 export function getRefusal(error: unknown): Refusal {
     if (error instanceof RefusalError) {
         return error.refusal;
@@ -179,7 +178,7 @@
     return createRefusal("internal", error instanceof Error ? error.message : String(error), "unknown");
 }
 
-/** Throws unless `condition` holds: for what cannot happen unless the program is wrong. */
+/** Throws if `condition` is false, which indicates a bug. */
 export function assertInvariant(condition: boolean, message: string): asserts condition {
     if (!condition) {
         throw new Error(`invariant violated: ${message}`);
--- a/src/domain/retryBudget.ts
+++ b/src/domain/retryBudget.ts
@@ -1,23 +1,23 @@
-/** Bounds retries to a part of the fresh requests, so that retries cannot feed an overload. One for each service. */
+/** Token bucket that limits the retries of a service to a fraction of its requests, so that they cannot amplify an overload. */
 export class RetryBudget {
     private tokens: number;
 
-    /** `ratio`: retries earned by each fresh request. `most`: retries that can be saved up. */
-    constructor(private readonly ratio = 0.2, private most = 20) {
-        this.tokens = most;
+    /** `tokensPerRequest`: retries earned by each first attempt. `maxTokens`: retries that can accumulate. */
+    constructor(private readonly tokensPerRequest = 0.2, private maxTokens = 20) {
+        this.tokens = maxTokens;
     }
 
-    /** Changes how many retries can be saved up; what was saved beyond that is lost. */
-    setMost(most: number): void {
-        this.most = most;
-        this.tokens = Math.min(this.tokens, most);
+    /** Changes the capacity; tokens above it are discarded. */
+    setMost(maxTokens: number): void {
+        this.maxTokens = maxTokens;
+        this.tokens = Math.min(this.tokens, maxTokens);
     }
 
     recordRequest(): void {
-        this.tokens = Math.min(this.most, this.tokens + this.ratio);
+        this.tokens = Math.min(this.maxTokens, this.tokens + this.tokensPerRequest);
     }
 
-    /** Whether one more retry may be made; it is spent if so. */
+    /** Takes a token for a retry; false if none is left. */
     trySpend(): boolean {
         if (this.tokens < 1) {
             return false;
--- a/test/domain/resultCodes.test.ts
+++ b/test/domain/resultCodes.test.ts
@@ -7,13 +7,13 @@
 
 const root = join(dirname(fileURLToPath(import.meta.url)), "..", "..", "..");
 
-void t.test("numbers are unique and names match", async t => {
+void t.test("numbers are unique and names match their keys", async t => {
     const numbers = Object.values(ResultCodes).map(row => row.number);
     t.equal(new Set(numbers).size, numbers.length);
     t.ok(Object.entries(ResultCodes).every(([name, row]) => row.name === name));
 });
 
-void t.test("the page has the code's table", async t => {
+void t.test("docs/RESULT-CODES.md contains the generated table", async t => {
     const page = readFileSync(join(root, "docs", "RESULT-CODES.md"), "utf8");
     t.ok(page.includes(formatResultCodeTable()), "run: loomwinch result-codes");
 });
