--- a/src/domain/arrivalClock.ts
+++ b/src/domain/arrivalClock.ts
@@ -1,76 +1,74 @@
 /**
- * Tells when what is read now probably reached this box, on a box that lags behind.
+ * Estimates when requests reached this box while its event loop lags.
  *
- * The load that this answers: a router with little processor time whose event loop takes long turns, for instance after
- * everything has lost power and all callers come back. It reads requests up to several turns after they came. Counted from
- * when it was read, a request seems fresh; it is sent on when its time is up and held past its route's time-out: with turns
- * of 0.2 s a request on a new connection counted from 0.33 s after it was sent (`heldRequests.test.ts`, one run).
+ * A starved event loop reads a request several turns after it arrived. If the time-out counted from the read, the router
+ * would forward requests that have already expired and hold callers past the time-out of their route.
  *
- * What one poll finds came while the turn before ran, on average in its middle. Where the loop is in time, what is read came
- * just now, but no earlier than the running turn's first tick was due: a later tick would have run before it.
+ * Data found by a poll arrived during the previous turn, on average halfway through. Without lag, data arrived when it was
+ * read, but no earlier than the next tick was due: otherwise that tick would have run first.
  */
 
-/** Lateness of a tick that is ignored, in milliseconds: timers are late by a few without any load. */
-const IGNORED_MS = 20;
+/** Timer jitter of an unloaded event loop. */
+const MIN_LATENESS_MS = 20;
 
-/** When a connection was taken: its first request came with it, unless it was read in a later turn than the next. */
+/** Estimated arrival of a connection. Its first request arrived with it if it was read no later than in the next turn. */
 export interface ConnectionArrival {
     /** Monotonic clock, milliseconds. */
     readonly arrivedAt: number;
     readonly turn: number;
 }
 
-/** Times are on the monotonic clock, in milliseconds. */
+/** All times are monotonic, in milliseconds. */
 export class ArrivalClock {
-    /** When the newest tick ran, and when it was due. */
-    private tickAt: number;
-    private dueAt: number;
-    private turn = 0;
-    /** What is read now was found by the first poll after the tick. */
-    private isFirstPoll = false;
+    /** When the last tick ran and when it was due. */
+    private lastTickAt: number;
+    private tickDueAt: number;
+    private currentTurn = 0;
+    /** Whether data read now was found by the first poll after the last tick. */
+    private isFirstPollAfterTick = false;
 
-    /** `tickMs`: how often `recordTick` is called where nothing holds it up. */
+    /** `tickMs`: nominal interval between calls of `recordTick`. */
     constructor(private readonly tickMs: number, now: number) {
-        this.tickAt = now;
-        this.dueAt = now;
+        this.lastTickAt = now;
+        this.tickDueAt = now;
     }
 
-    /** Called by a timer, and so at the start of each turn that is late. */
+    /** Called by a timer, which runs at the start of each delayed turn. */
     recordTick(now: number): void {
-        this.dueAt = this.tickAt + this.tickMs;
-        this.tickAt = now;
-        this.turn += 1;
-        this.isFirstPoll = true;
+        this.tickDueAt = this.lastTickAt + this.tickMs;
+        this.lastTickAt = now;
+        this.currentTurn += 1;
+        this.isFirstPollAfterTick = true;
     }
 
     /** Called after the first poll that follows a tick. */
     recordPolled(): void {
-        this.isFirstPoll = false;
+        this.isFirstPollAfterTick = false;
     }
 
-    /** How late the newest tick was; 0 where that does not count. Milliseconds. */
+    /** Lateness of the last tick in milliseconds; 0 if within timer jitter. */
     getLateMs(): number {
-        const lateMs = this.tickAt - this.dueAt;
-        return lateMs > IGNORED_MS ? lateMs : 0;
+        const latenessMs = this.lastTickAt - this.tickDueAt;
+        return latenessMs > MIN_LATENESS_MS ? latenessMs : 0;
     }
 
-    /** When what is read at `now` probably arrived. */
+    /** Estimates when data that is read at `now` arrived. */
     estimateArrival(now: number): number {
-        return this.isFirstPoll
-            ? Math.min(now, this.tickAt) - this.getLateMs() / 2
-            : Math.min(now, this.tickAt + this.tickMs);
+        return this.isFirstPollAfterTick
+            ? Math.min(now, this.lastTickAt) - this.getLateMs() / 2
+            : Math.min(now, this.lastTickAt + this.tickMs);
     }
 
-    /** The same of a connection that is taken at `now`. */
+    /** Estimates when a connection that is accepted at `now` arrived. */
     createConnectionArrival(now: number): ConnectionArrival {
-        return { arrivedAt: this.estimateArrival(now), turn: this.turn };
+        return { arrivedAt: this.estimateArrival(now), turn: this.currentTurn };
     }
 
-    /** When the first request on a connection probably arrived, which is read at `now`. */
+    /** Estimates when the first request of a connection arrived, given that it is read at `now`. */
     estimateFirstArrival(connection: ConnectionArrival, now: number): number {
         const arrivedAt = this.estimateArrival(now);
-        // Where the loop is in time, ticks are no turns, and the request was read as it came.
-        const cameTogether = this.turn <= connection.turn + 1 && this.getLateMs() > 0;
-        return cameTogether ? Math.min(arrivedAt, connection.arrivedAt) : arrivedAt;
+        // Without lag the tick count does not advance with the turns, and requests are read as they arrive.
+        const arrivedTogether = this.currentTurn <= connection.turn + 1 && this.getLateMs() > 0;
+        return arrivedTogether ? Math.min(arrivedAt, connection.arrivedAt) : arrivedAt;
     }
 }
--- a/test/domain/arrivalClock.test.ts
+++ b/test/domain/arrivalClock.test.ts
@@ -1,10 +1,9 @@
-/** Requests that a lagging box reads late are not taken for fresh. */
+/** Requests that a lagging event loop reads late are not considered fresh. */
 import t from "tap";
 import { ArrivalClock } from "../../src/domain/arrivalClock.js";
 
 const TICK_MS = 50;
 
-/** A tick, then the poll after it. */
 function runTurn(clock: ArrivalClock, now: number): void {
     clock.recordTick(now);
     clock.recordPolled();
@@ -21,7 +20,7 @@
     t.end();
 });
 
-void t.test("what is read after a turn of 800 ms came in the middle of it, until the next poll", t => {
+void t.test("data found by the first poll after a long turn arrived in the middle of that turn", t => {
     const clock = new ArrivalClock(TICK_MS, 0);
     runTurn(clock, 50);
     clock.recordTick(900);
@@ -33,16 +32,16 @@
     t.end();
 });
 
-void t.test("what comes late in a long turn did not come late: it was found by that turn's poll", t => {
+void t.test("data read late in a long turn was found by the poll at its start", t => {
     const clock = new ArrivalClock(TICK_MS, 0);
     runTurn(clock, 50);
-    t.equal(clock.estimateArrival(480), 100, "no poll after 100 ms, or a tick would have run before it");
+    t.equal(clock.estimateArrival(480), 100, "a poll after 100 ms would have been preceded by a tick");
     clock.recordTick(500);
     t.equal(clock.estimateArrival(880), 300, "found by the poll at 500, though read 380 ms later");
     t.end();
 });
 
-void t.test("the first request on a connection came with it where it was read in the next turn", t => {
+void t.test("the first request of a connection arrived with it if it is read in the next turn", t => {
     const clock = new ArrivalClock(TICK_MS, 0);
     runTurn(clock, 50);
     clock.recordTick(500);
@@ -52,11 +51,11 @@
     t.equal(clock.estimateFirstArrival(connection, 960), 300);
     clock.recordPolled();
     clock.recordTick(1_400);
-    t.equal(clock.estimateFirstArrival(connection, 1_410), 1_200, "a caller that took its time");
+    t.equal(clock.estimateFirstArrival(connection, 1_410), 1_200, "sent some time after the connection was made");
     t.end();
 });
 
-void t.test("without lag a caller that sends some time after it connected is not older for it", t => {
+void t.test("without lag a request sent some time after connecting arrives when it is read", t => {
     const clock = new ArrivalClock(TICK_MS, 0);
     runTurn(clock, 50);
     const connection = clock.createConnectionArrival(60);
--- a/test/tools/loopWorld.ts
+++ b/test/tools/loopWorld.ts
@@ -1,38 +1,37 @@
 /**
- * A router's event loop in simulated time, on a box with little processor time: turns of timers, poll and checks, in which
- * callers are taken and read, sendings are connected and answered, and versions of the bundle are decoded in parts. Arrivals,
- * rests and what is worth sending are decided by the product's own modules. Times in milliseconds.
+ * Simulates the event loop of a router with little CPU: timers, poll and check phases, in which callers are accepted and read,
+ * upstream requests are sent and answered, and bundle versions are decoded in slices. Uses the production code for arrival
+ * estimates and for the decision whether to send. Times in milliseconds.
  */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { ArrivalClock, type ConnectionArrival } from "../../src/domain/arrivalClock.js";
 import { isWorthSending } from "../../src/domain/sendingTime.js";
 
-export interface LoopLoad {
+export interface EventLoopLoad {
     readonly seed: number;
-    readonly lengthMs: number;
-    /** Callers' requests, half of them on connections of their own. */
+    readonly durationMs: number;
+    /** Half of the requests arrive on new connections. */
     readonly requestsPerSecond: number;
     readonly timeoutMs: number;
-    /** How long the upstream takes for one. */
+    /** Response time of the upstream. */
     readonly upstreamMs: number;
-    /** What each step of a request costs: taking a connection, reading it, connecting to the upstream, answering. */
+    /** Event loop time of each step of a request: accepting, reading, connecting to the upstream, answering. */
     readonly stepMs: number;
-    /** A version is there whenever the router asks. */
-    readonly versionMs: number;
-    /** Turns that a version is decoded in. */
-    readonly versionParts: number;
-    readonly computeRestMs: (tookMs: number) => number;
+    /** Event loop time to decode a version. A new version is always available. */
+    readonly versionDecodeMs: number;
+    /** Event loop turns over which a version is decoded. */
+    readonly versionSlices: number;
+    readonly computeCooldownMs: (applyMs: number) => number;
 }
 
-/** What callers got. */
-export interface LoopOutcome {
+export interface EventLoopOutcome {
     answeredInTime: number;
-    refusedAtOnce: number;
-    /** Final answers after the route's time-out, and how late the latest of them was. */
+    refusedImmediately: number;
+    /** Final answers after the route's time-out, and the lateness of the latest. */
     late: number;
-    latestOverMs: number;
-    /** Runs whose caller got no answer in time. */
-    runInVain: number;
+    maxLatenessMs: number;
+    /** Upstream runs whose caller got no answer in time. */
+    wastedRuns: number;
     versions: number;
 }
 
@@ -55,36 +54,36 @@
 const TICK_MS = 50;
 const MS_PER_SECOND = 1_000;
 
-class LoopWorld {
-    readonly outcome: LoopOutcome = {
+class EventLoopSimulation {
+    readonly outcome: EventLoopOutcome = {
         answeredInTime: 0,
-        refusedAtOnce: 0,
+        refusedImmediately: 0,
         late: 0,
-        latestOverMs: 0,
-        runInVain: 0,
+        maxLatenessMs: 0,
+        wastedRuns: 0,
         versions: 0,
     };
     private now = 0;
     private nextTickAt = TICK_MS;
     private events: PollEvent[] = [];
-    private readonly open = new Set<SimulatedRequest>();
+    private readonly openRequests = new Set<SimulatedRequest>();
     private readonly clock = new ArrivalClock(TICK_MS, 0);
-    private partsLeft = 0;
-    private versionAt = 0;
-    private versionBegunAt = 0;
+    private slicesLeft = 0;
+    private nextVersionAt = 0;
+    private versionStartedAt = 0;
 
-    constructor(private readonly load: LoopLoad) {
+    constructor(private readonly load: EventLoopLoad) {
         const random = xoroshiro128plus(load.seed);
         const draw = (): number => (random.next() >>> 0) / 2 ** 32;
-        const gapMs = MS_PER_SECOND / load.requestsPerSecond;
-        for (let at = 0; at < load.lengthMs; at += draw() * 2 * gapMs) {
+        const meanIntervalMs = MS_PER_SECOND / load.requestsPerSecond;
+        for (let at = 0; at < load.durationMs; at += draw() * 2 * meanIntervalMs) {
             const request = { sentAt: at, connection: undefined, arrivedAt: 0, isDone: false, isSent: false };
             this.events.push({ at, step: draw() < 0.5 ? "connect" : "read", request });
         }
     }
 
-    run(): LoopOutcome {
-        while (this.now < this.load.lengthMs) {
+    run(): EventLoopOutcome {
+        while (this.now < this.load.durationMs) {
             this.runTimers();
             this.runPoll();
             this.runChecks();
@@ -98,9 +97,9 @@
             this.clock.recordTick(this.now);
             this.nextTickAt = this.now + TICK_MS;
         }
-        for (const request of this.open) {
+        for (const request of this.openRequests) {
             if (this.now >= request.arrivedAt + this.load.timeoutMs) {
-                this.finish(request, false);
+                this.finishRequest(request, false);
             }
         }
     }
@@ -124,78 +123,78 @@
                 request.arrivedAt = request.connection === undefined
                     ? this.clock.estimateArrival(this.now)
                     : this.clock.estimateFirstArrival(request.connection, this.now);
-                this.begin(request);
+                this.handleRequest(request);
                 return;
             case "sendConnected":
                 request.isSent = true;
                 this.events.push({ at: this.now + this.load.upstreamMs, step: "answer", request });
                 return;
             case "answer":
-                this.finish(request, true);
+                this.finishRequest(request, true);
                 return;
         }
     }
 
-    private begin(request: SimulatedRequest): void {
-        const leftMs = request.arrivedAt + this.load.timeoutMs - this.now;
-        if (!isWorthSending(leftMs, this.clock.getLateMs())) {
+    private handleRequest(request: SimulatedRequest): void {
+        const remainingMs = request.arrivedAt + this.load.timeoutMs - this.now;
+        if (!isWorthSending(remainingMs, this.clock.getLateMs())) {
             request.isDone = true;
-            this.outcome.refusedAtOnce += 1;
-            this.noteLate(request);
+            this.outcome.refusedImmediately += 1;
+            this.recordLateness(request);
             return;
         }
-        this.open.add(request);
+        this.openRequests.add(request);
         this.events.push({ at: this.now, step: "sendConnected", request });
     }
 
-    private finish(request: SimulatedRequest, isAnswer: boolean): void {
-        this.open.delete(request);
+    private finishRequest(request: SimulatedRequest, isAnswered: boolean): void {
+        this.openRequests.delete(request);
         if (request.isDone) {
             return;
         }
         request.isDone = true;
         const isInTime = this.now <= request.sentAt + this.load.timeoutMs;
-        this.outcome.answeredInTime += isAnswer && isInTime ? 1 : 0;
-        this.outcome.runInVain += request.isSent && !(isAnswer && isInTime) ? 1 : 0;
-        this.noteLate(request);
+        this.outcome.answeredInTime += isAnswered && isInTime ? 1 : 0;
+        this.outcome.wastedRuns += request.isSent && !(isAnswered && isInTime) ? 1 : 0;
+        this.recordLateness(request);
     }
 
-    private noteLate(request: SimulatedRequest): void {
-        const overMs = this.now - request.sentAt - this.load.timeoutMs;
-        this.outcome.late += overMs > 0 ? 1 : 0;
-        this.outcome.latestOverMs = Math.max(this.outcome.latestOverMs, overMs);
+    private recordLateness(request: SimulatedRequest): void {
+        const latenessMs = this.now - request.sentAt - this.load.timeoutMs;
+        this.outcome.late += latenessMs > 0 ? 1 : 0;
+        this.outcome.maxLatenessMs = Math.max(this.outcome.maxLatenessMs, latenessMs);
     }
 
     private runChecks(): void {
         this.clock.recordPolled();
-        if (this.partsLeft === 0 && this.now >= this.versionAt) {
-            this.partsLeft = this.load.versionParts;
-            this.versionBegunAt = this.now;
+        if (this.slicesLeft === 0 && this.now >= this.nextVersionAt) {
+            this.slicesLeft = this.load.versionSlices;
+            this.versionStartedAt = this.now;
         }
-        if (this.partsLeft > 0) {
-            this.now += this.load.versionMs / this.load.versionParts;
-            this.partsLeft -= 1;
+        if (this.slicesLeft > 0) {
+            this.now += this.load.versionDecodeMs / this.load.versionSlices;
+            this.slicesLeft -= 1;
             this.finishVersion();
         }
     }
 
     private finishVersion(): void {
-        if (this.partsLeft === 0) {
+        if (this.slicesLeft === 0) {
             this.outcome.versions += 1;
-            this.versionAt = this.now + this.load.computeRestMs(this.now - this.versionBegunAt);
+            this.nextVersionAt = this.now + this.load.computeCooldownMs(this.now - this.versionStartedAt);
         }
     }
 
-    /** An idle loop sleeps until something comes. */
+    /** Advances the time of an idle loop to the next event. */
     private waitForWork(): void {
-        if (this.partsLeft === 0) {
+        if (this.slicesLeft === 0) {
             const next = this.events.reduce((least, event) => Math.min(least, event.at), this.nextTickAt);
-            this.now = Math.max(this.now, Math.min(next, this.versionAt));
+            this.now = Math.max(this.now, Math.min(next, this.nextVersionAt));
         }
     }
 }
 
-/** Plays a load from an idle start. */
-export function playLoopLoad(load: LoopLoad): LoopOutcome {
-    return new LoopWorld(load).run();
+/** Simulates a load from an idle start. */
+export function simulateEventLoop(load: EventLoopLoad): EventLoopOutcome {
+    return new EventLoopSimulation(load).run();
 }
