--- a/src/domain/rankQueue.ts
+++ b/src/domain/rankQueue.ts
@@ -1,44 +1,44 @@
 /**
- * The queue before one upstream: which waiting run goes next, and how long a new one would wait.
+ * Priority queue of the runs waiting for one upstream, with wait time estimates.
  *
- * The lower rank goes first; waiting lifts a run by one rank for each ageing period, so that none waits for ever. A rank
- * may keep a share of the slots, which other ranks leave free as long as it has not used them up.
+ * Lower ranks start first. Each ageing period of waiting lowers the effective rank by one, which prevents starvation. A rank
+ * can reserve a share of the slots, which other ranks leave free.
  */
 
-/** A run that waits. */
+/** A waiting run. */
 export interface QueueEntry {
     readonly rank: number;
     readonly ageingMs: number;
-    /** Monotonic clock, milliseconds. */
+    /** Monotonic clock, in milliseconds. */
     readonly enqueuedAt: number;
 }
 
-/** Weight of the newest run in the average run time. */
-const NEWEST_WEIGHT = 0.1;
-const FIRST_GUESS_MS = 1_000;
+/** Weight of the latest run in the exponential moving average of run times. */
+const RUN_TIME_SMOOTHING_FACTOR = 0.1;
+const INITIAL_RUN_ESTIMATE_MS = 1_000;
 
 export class RankQueue<T extends QueueEntry> {
     private waiting: T[] = [];
-    private readonly running = new Map<number, number>();
-    private readonly runMs = new Map<number, number>();
-    private keptSlots = new Map<number, number>();
+    private readonly runningByRank = new Map<number, number>();
+    private readonly averageRunMs = new Map<number, number>();
+    private reservedSlots = new Map<number, number>();
 
     constructor(private slots: number) {}
 
-    /** Sets how many runs go at once, and the fraction of them that each rank keeps. */
-    setSlots(slots: number, keptShares: ReadonlyMap<number, number>): void {
+    /** Sets the number of concurrent runs and the fraction of them that is reserved for each rank. */
+    setSlots(slots: number, reservedShares: ReadonlyMap<number, number>): void {
         this.slots = slots;
-        this.keptSlots = new Map();
-        for (const [rank, share] of keptShares) {
+        this.reservedSlots = new Map();
+        for (const [rank, share] of reservedShares) {
             if (share > 0) {
-                this.keptSlots.set(rank, Math.min(slots, Math.max(1, Math.floor(share * slots))));
+                this.reservedSlots.set(rank, Math.min(slots, Math.max(1, Math.floor(share * slots))));
             }
         }
     }
 
     getRunning(): number {
         let sum = 0;
-        this.running.forEach(count => sum += count);
+        this.runningByRank.forEach(count => sum += count);
         return sum;
     }
 
@@ -50,19 +50,17 @@
         this.waiting.push(entry);
     }
 
-    /** Takes a run out that no longer waits. */
     remove(entry: T): void {
         this.waiting = this.waiting.filter(other => other !== entry);
     }
 
-    /** Takes every waiting run out. */
     removeAll(): T[] {
         const all = this.waiting;
         this.waiting = [];
         return all;
     }
 
-    /** The run that may start now, counted as running; undefined when none may. */
+    /** Dequeues the next run that may start and counts it as running; undefined if none may. */
     tryStartNext(now: number): T | undefined {
         let best: T | undefined;
         for (const entry of this.waiting) {
@@ -72,63 +70,66 @@
         }
         if (best !== undefined) {
             this.remove(best);
-            this.running.set(best.rank, (this.running.get(best.rank) ?? 0) + 1);
+            this.runningByRank.set(best.rank, (this.runningByRank.get(best.rank) ?? 0) + 1);
         }
         return best;
     }
 
-    /** Counts a run as ended after `ms` milliseconds of running. */
+    /** Records that a run finished after `ms` milliseconds. */
     recordEnd(rank: number, ms: number): void {
-        this.running.set(rank, (this.running.get(rank) ?? 1) - 1);
-        const before = this.runMs.get(rank);
-        this.runMs.set(rank, before === undefined ? ms : before + (ms - before) * NEWEST_WEIGHT);
+        this.runningByRank.set(rank, (this.runningByRank.get(rank) ?? 1) - 1);
+        const previousAverage = this.averageRunMs.get(rank);
+        this.averageRunMs.set(
+            rank,
+            previousAverage === undefined ? ms : previousAverage + (ms - previousAverage) * RUN_TIME_SMOOTHING_FACTOR,
+        );
     }
 
-    /** How long a new run of this rank would wait, in milliseconds, judged by the run times seen so far. */
+    /** Estimates how long a new run of this rank would wait, in milliseconds, from the average run times. */
     estimateWait(rank: number, ageingMs: number, now: number): number {
         if (this.hasSlotFor(rank) && !this.waiting.some(entry => entry.rank === rank)) {
             return 0;
         }
-        const newcomer = { rank, ageingMs, enqueuedAt: now };
+        const newEntry = { rank, ageingMs, enqueuedAt: now };
         let aheadMs = 0;
         for (const entry of this.waiting) {
-            // Of those that came at the same moment, the one that was there first goes first.
-            if (!isBefore(newcomer, entry, now)) {
-                aheadMs += this.getRunMs(entry.rank);
+            // Runs enqueued at the same time start in the order in which they were added.
+            if (!isBefore(newEntry, entry, now)) {
+                aheadMs += this.getAverageRunMs(entry.rank);
             }
         }
-        for (const [runningRank, count] of this.running) {
-            // A running run is on average half done.
-            aheadMs += count * this.getRunMs(runningRank) / 2;
+        for (const [runningRank, count] of this.runningByRank) {
+            // On average, half of a running run remains.
+            aheadMs += count * this.getAverageRunMs(runningRank) / 2;
         }
         return aheadMs / Math.max(1, this.getUsableSlots(rank));
     }
 
     /**
-     * Whether a new run of this rank is likely to end within its deadline. One that would be cut off takes a slot from
-     * those that would not; with only the wait held against the deadline, the queue fills up to where hardly any would.
+     * Whether a new run of this rank is expected to finish within its deadline. Considering only the wait would fill the queue
+     * with runs that are cut off by their deadline and waste the slot.
      */
     couldEndWithin(deadlineMs: number, rank: number, ageingMs: number, now: number): boolean {
         const waitMs = this.estimateWait(rank, ageingMs, now);
-        // Where nothing is in the way a run is tried: the guess of its length is worth less than that.
-        return waitMs === 0 || waitMs + this.getRunMs(rank) <= deadlineMs;
+        // With a free slot, the run is tried even if the average run time exceeds the deadline.
+        return waitMs === 0 || waitMs + this.getAverageRunMs(rank) <= deadlineMs;
     }
 
-    private getRunMs(rank: number): number {
-        return this.runMs.get(rank) ?? FIRST_GUESS_MS;
+    private getAverageRunMs(rank: number): number {
+        return this.averageRunMs.get(rank) ?? INITIAL_RUN_ESTIMATE_MS;
     }
 
     private getUsableSlots(rank: number): number {
-        let keptByOthers = 0;
-        this.keptSlots.forEach((kept, other) => keptByOthers += other === rank ? 0 : kept);
-        return Math.max(1, this.slots - keptByOthers);
+        let reservedByOthers = 0;
+        this.reservedSlots.forEach((reserved, other) => reservedByOthers += other === rank ? 0 : reserved);
+        return Math.max(1, this.slots - reservedByOthers);
     }
 
     private hasSlotFor(rank: number): boolean {
         let free = this.slots - this.getRunning();
-        for (const [other, kept] of this.keptSlots) {
+        for (const [other, reserved] of this.reservedSlots) {
             if (other !== rank) {
-                free -= Math.max(0, kept - (this.running.get(other) ?? 0));
+                free -= Math.max(0, reserved - (this.runningByRank.get(other) ?? 0));
             }
         }
         return free >= 1;
@@ -141,7 +142,7 @@
     return rankA < rankB || (rankA === rankB && a.enqueuedAt < b.enqueuedAt);
 }
 
-/** The rank after ageing; it keeps falling, so that even the lowest rank comes first in the end. */
+/** Rank after ageing. It decreases without limit, so every run is started eventually. */
 function getEffectiveRank(entry: QueueEntry, now: number): number {
     return entry.rank - Math.floor((now - entry.enqueuedAt) / entry.ageingMs);
 }
--- a/src/domain/readingQueue.ts
+++ b/src/domain/readingQueue.ts
@@ -1,92 +1,92 @@
 /**
- * What one model engine has to read, as far as a router knows: prompts are read one after the other, so each one waits
- * for those before it, and every stream beside them waits too. Times are on the router's monotonic clock, milliseconds.
+ * Estimates the prefill backlog of one model engine as seen by a router. Prompts are processed sequentially, so each one waits
+ * for those queued before it, and prefill also stalls running streams. Times are monotonic, in milliseconds.
  */
 
-/** A prompt that has been added to a queue. */
+/** A prompt in a queue. */
 export interface QueuedPrompt {
     readonly tokens: number;
-    /** When it was added, and how long what was before it was thought to take. */
+    /** When the prompt was added, and the backlog estimated at that time. */
     readonly addedAt: number;
-    readonly waitedMs: number;
-    /** All tokens ever added, up to this prompt. */
-    readonly through: number;
+    readonly estimatedWaitMs: number;
+    /** Total number of tokens added to the queue, including this prompt. */
+    readonly cumulativeTokens: number;
 }
 
-/** How the reading speed is learned. */
+/** Parameters of the prefill speed estimate. */
 export interface ReadingSpeedOptions {
-    /** Milliseconds a prompt token before anything was observed. */
+    /** Initial estimate, in milliseconds per prompt token. */
     readonly assumedMsPerToken: number;
-    /** Least prompt that tells of the speed, in tokens: below it the way there and back and the step count for more. */
+    /** Prompts with fewer tokens are not sampled: network latency and engine step time dominate. */
     readonly leastTokens: number;
-    /** Part by which one observation moves the estimate. */
+    /** Smoothing factor of the moving average. */
     readonly weight: number;
 }
 
 /**
- * What one observation may be above the estimate at the most: an engine that stood still once is not slow, and one that is
- * taken for far slower than it is would not be asked again and could not show otherwise.
+ * Caps a sample as a multiple of the current estimate. Without a cap, one stall would make an engine look so slow that it is
+ * no longer chosen, and the estimate would never be corrected.
  */
-const MOST_SAMPLE_FACTOR = 3;
+const MAX_SAMPLE_FACTOR = 3;
 
-/** How long an engine takes for a token of a prompt, learned from prompts that had nothing before them. */
+/** Estimates the prefill time per token, from prompts that were queued while the engine had no known backlog. */
 export class ReadingSpeed {
-    constructor(private readonly options: ReadingSpeedOptions, private current = options.assumedMsPerToken) {}
+    constructor(private readonly options: ReadingSpeedOptions, private estimate = options.assumedMsPerToken) {}
 
     get msPerToken(): number {
-        return this.current;
+        return this.estimate;
     }
 
-    /** Takes how long a prompt took that nothing was known to be before. */
+    /** Adds a sample of a prompt that had no known backlog before it. */
     observe(tokens: number, ms: number): void {
         if (tokens >= this.options.leastTokens) {
-            const sample = Math.min(ms / tokens, this.current * MOST_SAMPLE_FACTOR);
-            this.current += (sample - this.current) * this.options.weight;
+            const sample = Math.min(ms / tokens, this.estimate * MAX_SAMPLE_FACTOR);
+            this.estimate += (sample - this.estimate) * this.options.weight;
         }
     }
 }
 
-/** The prompts of one engine, those of other routers included as far as they tell. */
+/** Prompts queued at one engine, including those reported by other routers. */
 export class ReadingQueue {
-    /** When everything that is known of will have been read. */
-    private readUntil = 0;
-    private through = 0;
-    /** Own prompts whose answers have not begun. */
+    /** Estimated time at which all known prompts are processed. */
+    private prefillEndsAt = 0;
+    private cumulativeTokens = 0;
+    /** Tokens of prompts sent by this router whose answers have not started. */
     private pendingTokens = 0;
 
     constructor(private readonly speed: ReadingSpeed) {}
 
-    /** How long the engine will read on from `now` with nothing added. */
+    /** Estimated time to process the queued prompts, in milliseconds. */
     getBacklogMs(now: number): number {
-        // Own prompts are known to be unread, however long the engine was thought to take for them.
-        return Math.max(this.readUntil - now, this.pendingTokens * this.speed.msPerToken, 0);
+        // Unanswered prompts of this router are pending even if their estimated time has passed.
+        return Math.max(this.prefillEndsAt - now, this.pendingTokens * this.speed.msPerToken, 0);
     }
 
-    /** Adds a prompt of this router's. */
+    /** Adds a prompt that this router sent. */
     add(tokens: number, now: number): QueuedPrompt {
-        const waitedMs = this.getBacklogMs(now);
+        const estimatedWaitMs = this.getBacklogMs(now);
         this.addOther(tokens, now);
         this.pendingTokens += tokens;
-        return { tokens, addedAt: now, waitedMs, through: this.through };
+        return { tokens, addedAt: now, estimatedWaitMs, cumulativeTokens: this.cumulativeTokens };
     }
 
-    /** Adds a prompt that another router has sent. */
+    /** Adds a prompt that another router sent. */
     addOther(tokens: number, now: number): void {
-        this.readUntil = Math.max(now, this.readUntil) + tokens * this.speed.msPerToken;
-        this.through += tokens;
+        this.prefillEndsAt = Math.max(now, this.prefillEndsAt) + tokens * this.speed.msPerToken;
+        this.cumulativeTokens += tokens;
     }
 
-    /** Takes that the answer to a prompt has begun: what was added before it has been read too. */
+    /** Records that the answer to a prompt started, which implies that all earlier prompts have been processed. */
     recordRead(prompt: QueuedPrompt, now: number): void {
         this.pendingTokens -= prompt.tokens;
-        const after = this.through - prompt.through;
-        this.readUntil = Math.min(this.readUntil, now + after * this.speed.msPerToken);
-        if (prompt.waitedMs === 0) {
+        const tokensAfter = this.cumulativeTokens - prompt.cumulativeTokens;
+        this.prefillEndsAt = Math.min(this.prefillEndsAt, now + tokensAfter * this.speed.msPerToken);
+        if (prompt.estimatedWaitMs === 0) {
             this.speed.observe(prompt.tokens, now - prompt.addedAt);
         }
     }
 
-    /** Takes that a prompt ended without an answer: it is not waited for any more. */
+    /** Records that a prompt ended without an answer and is no longer pending. */
     recordDropped(prompt: QueuedPrompt): void {
         this.pendingTokens -= prompt.tokens;
     }
--- a/src/domain/reportBound.ts
+++ b/src/domain/reportBound.ts
@@ -1,26 +1,25 @@
-/** What a router's reports of its prepaid tokens say of how much it can have committed (see prepaidBook.ts). */
+/** Derives from the reports of a router an upper bound on the prepaid tokens it can have committed (see prepaidBook.ts). */
 import type { PrepaidReportCommand } from "./bundleCommands.js";
 
 type ReportedAccount = PrepaidReportCommand["accounts"][number];
 
-/** A report as it bounds what its router may commit. */
+/** The part of a report that limits what its router may commit. */
 export interface ReportBound {
     readonly sequence: number;
-    /** Index in the log, by which the leader knows when it was taken. */
+    /** Log index, from which the leader derives when the report was accepted. */
     readonly index: number;
-    /** The time of day at the router's box when it was made, in milliseconds. */
+    /** Wall clock of the router when it made the report, in milliseconds. */
     readonly wallMs: number;
-    /** Without an answer for so long, the router may commit all that it was granted. Milliseconds. */
+    /** Time without an answer after which the router may commit its whole grant, in milliseconds. */
     readonly wholeAfterMs: number;
     readonly accounts: readonly Pick<ReportedAccount, "account" | "committed" | "burst" | "perSecond">[];
 }
 
-/** When a report was made. */
 export type ReportTime = Pick<ReportBound, "index" | "wallMs">;
 
 const MS_PER_SECOND = 1_000;
 
-/** The bound of a report that stands at `index` of the log. What it says nothing of stands as `previous` told. */
+/** Accounts that the report omits keep their bounds from `previous`. */
 export function createReportBound(
     report: PrepaidReportCommand,
     index: number,
@@ -35,30 +34,31 @@
 }
 
 /**
- * Most that a router can have committed of an account, by the report it went by last: its newest one, or the newest that
- * it is known to have the answer to. `lived`: how long after them; without it there is no bound. Tokens.
+ * Computes the most tokens of an account that a router can have committed. The router acts on its newest report, or on the
+ * newest one known to have been answered, so the larger bound of the two applies. `elapsed`: time since each report;
+ * unbounded if undefined.
  */
 export function computeMostSpent(
     bounds: { readonly answered: ReportBound | undefined; readonly newest: ReportBound | undefined; },
     account: string,
-    lived: PrepaidReportCommand["predecessor"],
+    elapsed: PrepaidReportCommand["predecessor"],
 ): number {
-    if (lived === undefined) {
+    if (elapsed === undefined) {
         return Infinity;
     }
     return Math.max(
-        computeMostUnder(bounds.answered, account, lived.sinceAnsweredMs),
-        computeMostUnder(bounds.newest, account, lived.sinceNewestMs),
+        computeMaxCommittedByReport(bounds.answered, account, elapsed.sinceAnsweredMs),
+        computeMaxCommittedByReport(bounds.newest, account, elapsed.sinceNewestMs),
     );
 }
 
-/** Before its first answer a router may commit nothing, so without a report there is nothing. */
-function computeMostUnder(bound: ReportBound | undefined, account: string, livedMs: number): number {
+/** 0 without a report: a router may not commit tokens before its first answer. */
+function computeMaxCommittedByReport(bound: ReportBound | undefined, account: string, elapsedMs: number): number {
     const entry = bound?.accounts.find(entry => entry.account === account);
     if (bound === undefined || entry === undefined) {
         return 0;
     }
-    return livedMs >= bound.wholeAfterMs
+    return elapsedMs >= bound.wholeAfterMs
         ? Infinity
-        : entry.committed + entry.burst + Math.ceil(entry.perSecond * livedMs / MS_PER_SECOND);
+        : entry.committed + entry.burst + Math.ceil(entry.perSecond * elapsedMs / MS_PER_SECOND);
 }
--- a/test/domain/rankQueue.test.ts
+++ b/test/domain/rankQueue.test.ts
@@ -12,7 +12,7 @@
     return { name, rank, ageingMs, enqueuedAt };
 }
 
-void t.test("the lower rank goes first, then the longer wait", async t => {
+void t.test("the lower rank starts first, then the longer wait", async t => {
     const queue = new RankQueue<Entry>(1);
     queue.add(createEntry("lookup", 1, 0));
     queue.add(createEntry("briefing", 0, 10));
@@ -22,26 +22,26 @@
     t.equal(queue.tryStartNext(30)?.name, "lookup");
 });
 
-void t.test("waiting lifts a run past any stream of better ranks", async t => {
+void t.test("ageing lets a run start before newer runs of lower ranks", async t => {
     const queue = new RankQueue<Entry>(1);
     queue.add(createEntry("lookup", 3, 0));
     queue.add(createEntry("briefing", 0, 4_500));
     t.equal(queue.tryStartNext(4_600)?.name, "lookup");
 });
 
-void t.test("a kept share is left free for its rank", async t => {
+void t.test("a reserved share is left free for its rank", async t => {
     const queue = new RankQueue<Entry>(4);
     queue.setSlots(4, new Map([[1, 0.25]]));
     for (let i = 0; i < 5; i++) {
         queue.add(createEntry(`briefing-${i}`, 0, i));
     }
     const started = [queue.tryStartNext(10), queue.tryStartNext(10), queue.tryStartNext(10), queue.tryStartNext(10)];
-    t.equal(started.filter(entry => entry !== undefined).length, 3, "the fourth slot is kept");
+    t.equal(started.filter(entry => entry !== undefined).length, 3, "the fourth slot is reserved");
     queue.add(createEntry("lookup", 1, 10));
     t.equal(queue.tryStartNext(10)?.name, "lookup");
 });
 
-void t.test("the estimate counts only what goes before", async t => {
+void t.test("the wait estimate counts only runs that start earlier", async t => {
     const queue = new RankQueue<Entry>(1);
     queue.add(createEntry("first", 0, 0));
     queue.tryStartNext(0);
@@ -49,43 +49,43 @@
     t.equal(queue.estimateWait(0, 1_000, 0), 0, "a free slot");
     queue.add(createEntry("second", 0, 0));
     queue.tryStartNext(0);
-    t.equal(queue.estimateWait(0, 1_000, 0), 200, "half of the running one");
+    t.equal(queue.estimateWait(0, 1_000, 0), 200, "half of the running run");
     queue.add(createEntry("later", 5, 0));
-    t.equal(queue.estimateWait(0, 1_000, 0), 200, "a worse rank does not count");
+    t.equal(queue.estimateWait(0, 1_000, 0), 200, "a higher rank does not count");
 });
 
-/** Callers at a box with three slots, each with one run at a time; who is refused comes back after a pause. */
-function playOverload(callers: number): { whole: number; wasted: number; } {
+/** Simulates callers at an upstream with three slots. Each has one request at a time and retries refusals after a pause. */
+function simulateOverload(callers: number): { completed: number; wasted: number; } {
     const slots = 3;
     const runMs = 300;
     const deadlineMs = 1_500;
     const pauseMs = 100;
     const stepMs = 10;
     const queue = new RankQueue<QueueEntry & { caller: number; }>(slots);
-    const backAt = Array.from({ length: callers }, () => 0);
+    const nextRequestAt = Array.from({ length: callers }, () => 0);
     let running: { entry: QueueEntry; caller: number; startedAt: number; }[] = [];
-    const counts = { whole: 0, wasted: 0 };
+    const counts = { completed: 0, wasted: 0 };
     for (let now = 0; now < 30_000; now += stepMs) {
         running = running.filter(run => {
-            const isWhole = now - run.startedAt >= runMs;
-            const isCut = !isWhole && now - run.entry.enqueuedAt >= deadlineMs;
-            if (isWhole || isCut) {
-                counts[isWhole ? "whole" : "wasted"] += 1;
+            const isCompleted = now - run.startedAt >= runMs;
+            const isCutOff = !isCompleted && now - run.entry.enqueuedAt >= deadlineMs;
+            if (isCompleted || isCutOff) {
+                counts[isCompleted ? "completed" : "wasted"] += 1;
                 queue.recordEnd(run.entry.rank, now - run.startedAt);
-                backAt[run.caller] = now;
+                nextRequestAt[run.caller] = now;
             }
-            return !isWhole && !isCut;
+            return !isCompleted && !isCutOff;
         });
-        backAt.forEach((at, caller) => {
+        nextRequestAt.forEach((at, caller) => {
             if (now < at) {
                 return;
             }
             if (queue.couldEndWithin(deadlineMs, 0, 60_000, now)) {
                 queue.add({ rank: 0, ageingMs: 60_000, enqueuedAt: now, caller });
-                backAt[caller] = Infinity;
+                nextRequestAt[caller] = Infinity;
             }
             else {
-                backAt[caller] = now + pauseMs;
+                nextRequestAt[caller] = now + pauseMs;
             }
         });
         for (let next = queue.tryStartNext(now); next !== undefined; next = queue.tryStartNext(now)) {
@@ -95,13 +95,15 @@
     return counts;
 }
 
-void t.test("of many more callers than slots, those are refused whose run would be cut off by its deadline", t => {
-    // Where only the wait was held against the deadline, 24 callers had 239 whole answers in 30 s and 218 cut off.
-    const capacity = playOverload(3);
-    const overload = playOverload(24);
+void t.test("under overload, runs that would be cut off by their deadline are refused", t => {
+    const capacity = simulateOverload(3);
+    const overload = simulateOverload(24);
     t.comment(JSON.stringify({ capacity, overload }));
     t.equal(capacity.wasted, 0);
-    t.ok(overload.wasted <= 3, `${overload.wasted} runs for nothing, before their length is known`);
-    t.ok(overload.whole >= capacity.whole * 0.95, `${overload.whole} whole, ${capacity.whole} at capacity`);
+    t.ok(overload.wasted <= 3, `${overload.wasted} wasted runs, before the run time is known`);
+    t.ok(
+        overload.completed >= capacity.completed * 0.95,
+        `${overload.completed} completed, ${capacity.completed} at capacity`,
+    );
     t.end();
 });
