--- a/src/domain/eventSplitter.ts
+++ b/src/domain/eventSplitter.ts
@@ -1,41 +1,41 @@
-/** Splits the bytes of an event stream into whole events, so that a stream can go on elsewhere after a break. */
+/** Splits a server-sent event stream at event boundaries, so that it can be resumed at another upstream. */
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 const ID_FIELD = /(?:^|\n)id: ?([^\r\n]*)/g;
 
-/** Holds back what follows the last whole event until the rest of it comes. */
+/** Buffers an incomplete event until the rest of it arrives. */
 export class EventSplitter {
-    /** How many whole events have come. */
+    /** Number of complete events received. */
     eventCount = 0;
-    /** Id of the last whole event that had one. */
+    /** Id of the last complete event that had one. */
     lastEventId: string | undefined;
-    private rest: Buffer = Buffer.alloc(0);
+    private partialEvent: Buffer = Buffer.alloc(0);
 
-    /** Takes bytes; answers the whole events that are complete now, byte for byte, or undefined where there are none. */
+    /** Adds received bytes. Returns the events completed by them, unmodified, or undefined if there are none. */
     add(bytes: Buffer): Buffer | undefined {
-        const all = this.rest.length === 0 ? bytes : Buffer.concat([this.rest, bytes]);
-        const end = this.findLastEnd(all);
-        this.rest = all.subarray(end);
+        const all = this.partialEvent.length === 0 ? bytes : Buffer.concat([this.partialEvent, bytes]);
+        const end = this.consumeEvents(all);
+        this.partialEvent = all.subarray(end);
         if (end === 0) {
             return undefined;
         }
-        const whole = all.subarray(0, end);
-        for (const match of whole.toString("latin1").matchAll(ID_FIELD)) {
+        const complete = all.subarray(0, end);
+        for (const match of complete.toString("latin1").matchAll(ID_FIELD)) {
             this.lastEventId = match[1];
         }
-        return whole;
+        return complete;
     }
 
-    /** Whatever follows the last whole event. */
+    /** Returns and clears the buffered incomplete event. */
     takeRest(): Buffer {
-        const rest = this.rest;
-        this.rest = Buffer.alloc(0);
+        const rest = this.partialEvent;
+        this.partialEvent = Buffer.alloc(0);
         return rest;
     }
 
-    /** Counts the blank lines that end events; answers where the last one ends. */
-    private findLastEnd(all: Buffer): number {
+    /** Counts the complete events and returns the offset after the last one. */
+    private consumeEvents(all: Buffer): number {
         let end = 0;
         let at = all.indexOf(LINE_FEED);
         while (at >= 0) {
--- a/src/domain/routerGroups.ts
+++ b/src/domain/routerGroups.ts
@@ -1,57 +1,50 @@
 /**
- * Routers in groups, so that what each of them has to tell all others costs messages by the number of routers and not by
- * its square: a router tells the relay of its group, the relay tells its group and the relays of the other groups.
+ * Groups routers for broadcasts: a router sends a message to the relay of its group, which forwards it to the group and to the
+ * relays of the other groups. The number of messages then grows linearly rather than quadratically with the routers.
  *
- * The load that this answers: 68 routers that place 290 long prompts a second. Told by each to each, one placement of each
- * router costs 4,556 notices, through relays 280 (counted in memory); the bytes between zones in 12 s of such a load fell
- * from 0.393 GB, without any telling, to 0.115 GB with relays and what else grows less with routers (one day each).
- * Every router computes the groups by itself from the routers it knows. Where two know of different ones for a while,
- * something is heard twice or not at all, which what is told this way has to bear.
+ * Each router computes the groups from the routers it knows. While these views differ, a message may be delivered twice or
+ * not at all, so it must tolerate both.
  */
 
-/** Where a router is reached. */
 export interface RouterContact {
     readonly address: string;
     readonly zone: string;
 }
 
-/** Whom a router tells what it has to say. */
+/** The routers that a router sends broadcasts to. */
 export interface GroupLinks {
-    /** The relay of this router's group; undefined where this router is it. */
+    /** Undefined if this router is the relay of its group. */
     readonly relay: string | undefined;
-    /** The rest of this router's group. */
+    /** The other routers of this router's group. */
     readonly members: readonly string[];
-    /** The relays of the other groups, as far as any of their routers can be reached. */
+    /** Relays of the other groups that have a reachable router. */
     readonly otherRelays: readonly string[];
 }
 
 /**
- * So many routers and fewer tell each other directly, each a group of its own: a relay would save less than half of the
- * messages, and what is told would be older.
+ * Up to this number, each router is its own group and sends directly to all others. Relays would save less than half of the
+ * messages and add latency.
  */
-export const MOST_DIRECT_ROUTERS = 12;
+export const MAX_DIRECT_ROUTERS = 12;
 /**
- * Most routers in a group. A relay has as many links as its group has members and as there are other groups; near the
- * square root of their number both are least together, which is 16 for some 250 routers.
+ * Near the square root of the number of routers (some 250), which minimizes the links of a relay: group members plus other
+ * groups.
  */
-export const MOST_IN_GROUP = 16;
+export const MAX_GROUP_SIZE = 16;
 
-/** The groups of all routers: by availability zone, so that most of what is told stays within one. */
+/** Groups routers by availability zone to limit traffic between zones. */
 export function createRouterGroups(routers: readonly RouterContact[]): string[][] {
-    if (routers.length <= MOST_DIRECT_ROUTERS) {
+    if (routers.length <= MAX_DIRECT_ROUTERS) {
         return routers.map(({ address }) => [address]);
     }
     const zones = new Map<string, string[]>();
     for (const { address, zone } of routers) {
         zones.set(zone, [...zones.get(zone) ?? [], address]);
     }
-    return [...zones.values()].flatMap(addresses => createEvenParts(addresses.sort()));
+    return [...zones.values()].flatMap(addresses => splitEvenly(addresses.sort()));
 }
 
-/**
- * The links of the router `self`. The first router of a group that can be reached is its relay; `isReachable` says so of
- * the others.
- */
+/** Finds the links of the router `self`. A group's relay is its first reachable router. */
 export function findGroupLinks(
     self: string,
     groups: readonly (readonly string[])[],
@@ -59,18 +52,18 @@
 ): GroupLinks {
     const findRelay = (group: readonly string[]): string | undefined =>
         group.find(address => address === self || isReachable(address));
-    const own = groups.find(group => group.includes(self)) ?? [self];
-    const relay = findRelay(own);
+    const ownGroup = groups.find(group => group.includes(self)) ?? [self];
+    const relay = findRelay(ownGroup);
     return {
         relay: relay === self ? undefined : relay,
-        members: own.filter(address => address !== self),
-        otherRelays: groups.filter(group => group !== own).map(findRelay).filter(address => address !== undefined),
+        members: ownGroup.filter(address => address !== self),
+        otherRelays: groups.filter(group => group !== ownGroup).map(findRelay).filter(address => address !== undefined),
     };
 }
 
-/** Parts of about the same size, none larger than a group may be. */
-function createEvenParts(addresses: readonly string[]): string[][] {
-    const count = Math.ceil(addresses.length / MOST_IN_GROUP);
+/** Splits into groups of similar size, each at most `MAX_GROUP_SIZE`. */
+function splitEvenly(addresses: readonly string[]): string[][] {
+    const count = Math.ceil(addresses.length / MAX_GROUP_SIZE);
     return Array.from({ length: count }, (_, i) => {
         const from = Math.floor(i * addresses.length / count);
         return addresses.slice(from, Math.floor((i + 1) * addresses.length / count));
--- a/test/domain/textChange.test.ts
+++ b/test/domain/textChange.test.ts
@@ -1,16 +1,16 @@
-/** Changes between texts: they lead to the new text whatever the two are, and are short where little differs. */
+/** Deltas between texts reproduce the new text, and are small if little differs. */
 import * as fc from "fast-check";
 import t from "tap";
 import { applyTextChange, computeTextChange } from "../../src/domain/textChange.js";
 
 const SEED = 22;
-/** Few different pieces, so that texts share many of them, in other orders and several times. */
-const alikeText = fc.array(fc.constantFrom("{a}", "{b}", "{\"c\":{}}", "}", "\n", "x", ",")).map(parts =>
+/** Few distinct segments, so that texts share many of them, reordered and repeated. */
+const repetitiveText = fc.array(fc.constantFrom("{a}", "{b}", "{\"c\":{}}", "}", "\n", "x", ",")).map(parts =>
     parts.join("")
 );
 
-void t.test("a change leads from one text to the other", t => {
-    const texts = fc.oneof(alikeText, fc.string({ unit: "binary" }));
+void t.test("applying a change to the old text gives the new text", t => {
+    const texts = fc.oneof(repetitiveText, fc.string({ unit: "binary" }));
     fc.assert(
         fc.property(texts, texts, (before, after) => {
             t.equal(applyTextChange(before, computeTextChange(before, after)), after);
@@ -20,7 +20,7 @@
     t.end();
 });
 
-void t.test("a change of one of many routes is a small part of the text", t => {
+void t.test("the change of one of many routes is small", t => {
     const createText = (revision: number, timeoutMs: number): string =>
         JSON.stringify({
             revision,
