--- a/src/daemons/directRouter/followedUpstreams.ts
+++ b/src/daemons/directRouter/followedUpstreams.ts
@@ -1,7 +1,7 @@
-/** What one controller has told this router of upstreams: how far, and of which of them it says that they are heard. */
+/** Tracks the upstream updates received from one controller and which upstreams that controller knows. */
 import type { ChangeCursor, UpstreamNews } from "../../domain/upstreamChanges.js";
 
-/** When an upstream was heard at the latest, by a controller's word. */
+/** Time since a controller last heard from an upstream; an upper bound. */
 export interface HeardUpstream {
     readonly id: string;
     readonly ageMs: number;
@@ -9,32 +9,32 @@
 
 export class FollowedUpstreams {
     private cursor: ChangeCursor | undefined;
-    /** Ids of the upstreams that the controller knows. It says nothing of others by not naming them. */
-    private readonly known = new Set<string>();
+    /** Ids of the upstreams that the controller knows; only for these does being absent from `unheard` mean recently heard. */
+    private readonly knownIds = new Set<string>();
 
-    /** `unheardMs`: silence from which the controller names an upstream as unheard. */
+    /** `unheardMs`: time without a report after which the controller lists an upstream as unheard. */
     constructor(readonly unheardMs: number) {}
 
-    /** How far the controller has told; undefined before its first word. */
+    /** Position of the last update; undefined before the first one. */
     tryGetCursor(): ChangeCursor | undefined {
         return this.cursor;
     }
 
-    /** Takes the controller's news. Answers when each of the upstreams that it knows was heard. */
+    /** Applies an update. Returns when the controller last heard from each upstream that it knows. */
     take({ cursor, isWhole, changed, unheard }: UpstreamNews): HeardUpstream[] {
         if (isWhole) {
-            this.known.clear();
+            this.knownIds.clear();
         }
         this.cursor = cursor;
         for (const { registration } of changed) {
             if (registration.state === "gone") {
-                this.known.delete(registration.id);
+                this.knownIds.delete(registration.id);
             }
             else {
-                this.known.add(registration.id);
+                this.knownIds.add(registration.id);
             }
         }
         const ages = new Map(unheard.map(({ id, ageMs }) => [id, ageMs]));
-        return [...this.known].map(id => ({ id, ageMs: ages.get(id) ?? this.unheardMs }));
+        return [...this.knownIds].map(id => ({ id, ageMs: ages.get(id) ?? this.unheardMs }));
     }
 }
