--- a/src/daemons/directRouter/directRouterDaemon.ts
+++ b/src/daemons/directRouter/directRouterDaemon.ts
@@ -376,7 +376,7 @@
             this.receiveEvacuations(answer.evacuations);
         }
         if (answer.suspects !== undefined) {
-            this.quarantine.receive(answer.suspects);
+            this.quarantine.receiveSuspects(answer.suspects);
         }
         if (now - this.heardAt > this.getGapMs()) {
             this.heardSince = now;
--- a/src/daemons/directRouter/relayRequest.ts
+++ b/src/daemons/directRouter/relayRequest.ts
@@ -1,35 +1,34 @@
-/** A caller's request on its way through a router. */
+/** Types for a caller's request while a router processes it. */
 import type { BundleAccount, BundleRoute, BundleService } from "../../domain/bundle.js";
 import { computeFingerprint } from "../../domain/requestFingerprint.js";
 import type { PromptPart } from "../../domain/upstreamLoad.js";
 import type { PassedRequest } from "../../ports/directUpstream.js";
 
-/** When a request came. Monotonic clock, milliseconds. */
+/** When a request was received. Monotonic clock, milliseconds. */
 export interface RequestTimes {
-    /** When it probably reached this box; its deadline counts from then. */
+    /** Estimated arrival at this box; the deadline is relative to it. */
     readonly arrivedAt: number;
-    /** When it was read. */
+    /** When the router read it. */
     readonly readAt: number;
-    /** When its connection probably reached this box, where it is the first request on it. */
+    /** Estimated arrival of its connection at this box; set only for the first request on a connection. */
     readonly connectedAt: number | undefined;
 }
 
-/** A caller's request as it was read. */
 export interface RelayRequest extends RequestTimes {
     readonly passed: PassedRequest;
     readonly host: string;
     readonly key: string | undefined;
-    /** How long the caller waits, in milliseconds; undefined where it does not say. */
+    /** Timeout set by the caller, in milliseconds; undefined if there is none. */
     readonly waitMs: number | undefined;
     readonly promptTokens: number;
-    /** Most tokens that the answer may have. */
+    /** Maximum number of output tokens. */
     readonly outputLimit: number;
     readonly parts: readonly PromptPart[];
-    /** The caller itself asks for a stream to go on after this event. */
+    /** Id of the event after which the caller resumes a stream. */
     readonly resumeAfter: string | undefined;
 }
 
-/** Where a request goes and for whom. */
+/** A request with its route, service and client account. */
 export interface ResolvedRequest {
     readonly request: RelayRequest;
     readonly route: BundleRoute;
@@ -37,8 +36,8 @@
     readonly account: BundleAccount | undefined;
 }
 
-/** What a request asks and for whom, whatever its id. */
-export function getFingerprint({ request, account }: ResolvedRequest): string {
+/** Computes a hash of the account and the content of a request that does not depend on the request id. */
+export function computeRequestFingerprint({ request, account }: ResolvedRequest): string {
     const { method, target, body } = request.passed;
     return computeFingerprint({ account: account?.name, method, host: request.host, target, body });
 }
--- a/src/daemons/directRouter/relayRun.ts
+++ b/src/daemons/directRouter/relayRun.ts
@@ -11,7 +11,7 @@
 import type { PassThroughSink } from "../../ports/answerSink.js";
 import { AnswerProgress, Attempt, type AttemptOutcome, isSuccess } from "./attempt.js";
 import type { AnswerStory, RelayContext } from "./relayContext.js";
-import { getFingerprint, type ResolvedRequest } from "./relayRequest.js";
+import { computeRequestFingerprint, type ResolvedRequest } from "./relayRequest.js";
 import { TokenReservation } from "./tokenReservation.js";
 
 /** Highest number of a priority. */
@@ -70,7 +70,7 @@
 
     private async runAttempts(): Promise<void> {
         for (;;) {
-            const quarantineMs = this.context.quarantine.tryGetLeftMs(this.resolved);
+            const quarantineMs = this.context.quarantine.tryGetRemainingMs(this.resolved);
             if (quarantineMs !== undefined) {
                 this.finish(createRefusal("requestQuarantined", undefined, "no", quarantineMs));
                 return;
@@ -195,10 +195,10 @@
             this.logUnanswered(upstream.id, outcome.type);
             return;
         }
-        const broken = { fingerprint: getFingerprint(this.resolved), hasBegun };
+        const broken = { fingerprint: computeRequestFingerprint(this.resolved), hasBegun };
         this.logUnanswered(upstream.id, outcome.type, broken);
         if (outcome.cause === "connection") {
-            this.context.quarantine.noteBroken(this.context.registry.getNewest(upstream), broken);
+            this.context.quarantine.recordInterrupted(this.context.registry.getNewest(upstream), broken);
         }
     }
 
@@ -265,7 +265,7 @@
         if (outcome.type === "answered") {
             // A failure does not show that the request can be run: the upstream may not have got as far as its end.
             if (outcome.isFramed && isSuccess(outcome.status)) {
-                this.context.quarantine.noteWhole(this.resolved);
+                this.context.quarantine.recordCompleteResponse(this.resolved);
             }
             this.context.recordAnswered(this.resolved, this.createStory(outcome.status));
             return;
--- a/src/daemons/directRouter/upstreamEndReporter.ts
+++ b/src/daemons/directRouter/upstreamEndReporter.ts
@@ -1,4 +1,4 @@
-/** Tells the controllers of upstreams that ended and of suspects that were answered, again and again until one takes it. */
+/** Reports crashed upstreams and cleared requests to the controllers, retrying until one accepts the report. */
 import { Signal } from "../../consensus/signal.js";
 import { MOST_BROKEN_REQUESTS } from "../../domain/upstreamEndCommands.js";
 import type { Clock } from "../../ports/clock.js";
@@ -10,18 +10,17 @@
 /** Times in milliseconds. */
 export interface UpstreamEndReporterOptions {
     readonly callTimeoutMs: number;
-    /** Pause after no controller has taken a report. */
+    /** Delay before the next try if no controller accepted a report. */
     readonly retryMs: number;
 }
 
-/** How long the task waits for something to report before it looks again, in milliseconds. */
-const IDLE_MS = 10_000;
+const IDLE_WAIT_MS = 10_000;
 
 export class UpstreamEndReporter {
-    private ends: EndedUpstream[] = [];
-    private readonly cleared = new Set<string>();
-    private readonly added = new Signal();
-    private stopped = false;
+    private pendingEnds: EndedUpstream[] = [];
+    private readonly pendingCleared = new Set<string>();
+    private readonly pendingAdded = new Signal();
+    private isStopped = false;
 
     constructor(
         private readonly network: PeerNetwork,
@@ -31,11 +30,11 @@
         private readonly options: UpstreamEndReporterOptions,
     ) {}
 
-    /** The reporter's one task. */
+    /** Sends reports until `stop` is called. Never rejects. */
     async run(): Promise<void> {
-        while (!this.stopped) {
-            if (this.ends.length === 0 && this.cleared.size === 0) {
-                await this.added.wait(IDLE_MS);
+        while (!this.isStopped) {
+            if (this.pendingEnds.length === 0 && this.pendingCleared.size === 0) {
+                await this.pendingAdded.wait(IDLE_WAIT_MS);
             }
             else if (!await this.sendReport()) {
                 await this.clock.wait(this.options.retryMs);
@@ -44,39 +43,39 @@
     }
 
     stop(): void {
-        this.stopped = true;
-        this.added.notifyAll();
+        this.isStopped = true;
+        this.pendingAdded.notifyAll();
     }
 
-    /** Beyond the most that one report holds the newest are left out: while no controller is reached, there is no hurry. */
+    /** Queues a crash. Crashes that do not fit into one report are dropped, so that the queue is bounded. */
     addEnd(end: EndedUpstream): void {
-        if (this.ends.length < MOST_REPORTED_ENDS) {
-            this.ends.push(end);
-            this.added.notifyAll();
+        if (this.pendingEnds.length < MOST_REPORTED_ENDS) {
+            this.pendingEnds.push(end);
+            this.pendingAdded.notifyAll();
         }
         else {
             this.log.warn("upstream_end_not_reported", { life: end.life });
         }
     }
 
-    /** Notes that a suspect was answered whole. */
-    addCleared(fingerprint: string): void {
-        if (this.cleared.size < MOST_BROKEN_REQUESTS) {
-            this.cleared.add(fingerprint);
-            this.added.notifyAll();
+    /** Queues the fingerprint of a suspect request that got a complete response. */
+    addClearedRequest(fingerprint: string): void {
+        if (this.pendingCleared.size < MOST_BROKEN_REQUESTS) {
+            this.pendingCleared.add(fingerprint);
+            this.pendingAdded.notifyAll();
         }
     }
 
-    /** Sends what there is to one controller after the other until one takes it. Answers whether one did. */
+    /** Offers the pending entries to each controller in turn. Returns whether one accepted them. */
     private async sendReport(): Promise<boolean> {
-        const ends = [...this.ends];
-        const cleared = [...this.cleared];
+        const ends = [...this.pendingEnds];
+        const cleared = [...this.pendingCleared];
         for (const address of this.getControllers()) {
             try {
                 const report = this.createReport(ends, cleared);
                 await this.network.call(address, reportEndsMethod, { report }, this.options.callTimeoutMs);
-                this.ends = this.ends.slice(ends.length);
-                cleared.forEach(fingerprint => this.cleared.delete(fingerprint));
+                this.pendingEnds = this.pendingEnds.slice(ends.length);
+                cleared.forEach(fingerprint => this.pendingCleared.delete(fingerprint));
                 return true;
             }
             catch (error) {
@@ -89,9 +88,9 @@
     private createReport(ends: readonly EndedUpstream[], cleared: readonly string[]): EndReport {
         const now = this.clock.getMonotonicMs();
         return {
-            ends: ends.map(({ life, brokenAt, requests }) => ({
+            ends: ends.map(({ life, interruptedAt: interruptedAt, requests }) => ({
                 life,
-                brokenAgoMs: Math.max(0, Math.round(now - brokenAt)),
+                brokenAgoMs: Math.max(0, Math.round(now - interruptedAt)),
                 requests: [...requests],
             })),
             cleared: [...cleared],
--- a/src/daemons/directRouter/upstreamEndWatch.ts
+++ b/src/daemons/directRouter/upstreamEndWatch.ts
@@ -1,9 +1,8 @@
 /**
- * Finds out whether an upstream has ended under the requests that broke off there, or only their connections have: a router
- * sees the same of both. Where the upstream's address refuses connections, its process is gone.
+ * Distinguishes a crash of an upstream from the loss of connections to it: after a crash its address refuses connections.
  *
- * An end that a planned stop or the loss of a box explains is not looked for: an upstream that said it leaves is left out,
- * and a box that is gone or cut off refuses nothing.
+ * Planned stops and lost boxes do not count as crashes. An upstream that is draining is not checked, and a box that is down
+ * or unreachable does not refuse connections.
  */
 import { type BrokenRequest, MOST_BROKEN_REQUESTS } from "../../domain/upstreamEndCommands.js";
 import { getLifeKey, type UpstreamRegistration } from "../../domain/upstreamRegistry.js";
@@ -11,29 +10,26 @@
 import type { DirectUpstreams } from "../../ports/directUpstream.js";
 import type { Log } from "../../ports/log.js";
 
-/** An upstream that ended with requests of this router under way. */
+/** An upstream that crashed while it had requests of this router. */
 export interface EndedUpstream {
-    /** The key of the life that ended. */
+    /** Key of the upstream process instance, see `getLifeKey`. */
     readonly life: string;
-    /** When the first request broke off there. Monotonic clock, milliseconds. */
-    readonly brokenAt: number;
+    /** When the first request was interrupted. Monotonic clock, milliseconds. */
+    readonly interruptedAt: number;
     readonly requests: readonly BrokenRequest[];
 }
 
-/**
- * A process that ends may close its connections some milliseconds before its listener: one that still listens is looked at
- * once more after this time. Milliseconds.
- */
-const LOOK_AGAIN_MS = 200;
+/** A process that exits may close its connections a few milliseconds before its listener. */
+const LISTENER_RECHECK_DELAY_MS = 200;
 
-interface BrokenUpstream {
-    readonly brokenAt: number;
+interface PendingCheck {
+    readonly interruptedAt: number;
     readonly requests: BrokenRequest[];
 }
 
 export class UpstreamEndWatch {
-    /** By the key of a life that is being looked at: what broke off there. */
-    private readonly broken = new Map<string, BrokenUpstream>();
+    /** Process instances being checked, by key, with their interrupted requests. */
+    private readonly pendingChecks = new Map<string, PendingCheck>();
 
     constructor(
         private readonly upstreams: DirectUpstreams,
@@ -42,33 +38,33 @@
         private readonly onEnded: (end: EndedUpstream) => void,
     ) {}
 
-    /** Notes a request that broke off with its connection. `upstream`: as it was last heard of. */
-    noteBroken(upstream: UpstreamRegistration, request: BrokenRequest): void {
+    /** Records a request that was interrupted by the loss of its connection. `upstream`: its newest known registration. */
+    recordInterrupted(upstream: UpstreamRegistration, request: BrokenRequest): void {
         if (upstream.state !== "ready") {
             return;
         }
         const life = getLifeKey(upstream);
-        const broken = this.broken.get(life);
-        if (broken === undefined) {
-            this.broken.set(life, { brokenAt: this.clock.getMonotonicMs(), requests: [request] });
-            void this.watchEnd(upstream, life);
+        const pendingCheck = this.pendingChecks.get(life);
+        if (pendingCheck === undefined) {
+            this.pendingChecks.set(life, { interruptedAt: this.clock.getMonotonicMs(), requests: [request] });
+            void this.checkListening(upstream, life);
         }
-        else if (broken.requests.length < MOST_BROKEN_REQUESTS) {
-            broken.requests.push(request);
+        else if (pendingCheck.requests.length < MOST_BROKEN_REQUESTS) {
+            pendingCheck.requests.push(request);
         }
     }
 
-    private async watchEnd({ id, address }: UpstreamRegistration, life: string): Promise<void> {
+    private async checkListening({ id, address }: UpstreamRegistration, life: string): Promise<void> {
         let isListening = await this.upstreams.isListening(address);
         if (isListening === true) {
-            await this.clock.wait(LOOK_AGAIN_MS);
+            await this.clock.wait(LISTENER_RECHECK_DELAY_MS);
             isListening = await this.upstreams.isListening(address);
         }
-        const { brokenAt, requests } = this.broken.get(life)!;
-        this.broken.delete(life);
+        const { interruptedAt: interruptedAt, requests } = this.pendingChecks.get(life)!;
+        this.pendingChecks.delete(life);
         if (isListening === false) {
             this.log.warn("upstream_ended", { upstream: id, address, broken: requests.length });
-            this.onEnded({ life, brokenAt, requests });
+            this.onEnded({ life, interruptedAt: interruptedAt, requests });
         }
     }
 }
--- a/test/daemons/upstreamEndReporter.test.ts
+++ b/test/daemons/upstreamEndReporter.test.ts
@@ -1,4 +1,4 @@
-/** A report of ended upstreams is made again until a controller takes it; what comes meanwhile is bounded. */
+/** Guards against lost or repeated crash reports, an unbounded report queue, and outdated lists of suspect requests. */
 import t from "tap";
 import { KnownSuspects } from "../../src/daemons/directRouter/knownSuspects.js";
 import { UpstreamEndReporter } from "../../src/daemons/directRouter/upstreamEndReporter.js";
@@ -12,26 +12,26 @@
 const CONTROLLERS = ["c1", "c2"];
 const FINGERPRINT = "0123456789abcdef";
 
-/** Takes reports once it is told to. */
+/** Rejects reports until `isAccepting` is set. */
 class ReportNetwork extends PeerNetwork {
-    readonly taken: EndReport[] = [];
-    asked = 0;
-    isTaking = false;
+    readonly acceptedReports: EndReport[] = [];
+    callCount = 0;
+    isAccepting = false;
 
     override connect(address: string): Promise<Peer> {
         return Promise.reject(new RefusalError(createRefusal("peerGone", address)));
     }
     override async call<P, R>(_address: string, _method: PeerMethod<P, R>, params: P): Promise<R> {
-        this.asked += 1;
-        if (!this.isTaking) {
+        this.callCount += 1;
+        if (!this.isAccepting) {
             throw new RefusalError(createRefusal("noMajority"));
         }
-        this.taken.push((params as { report: EndReport; }).report);
+        this.acceptedReports.push((params as { report: EndReport; }).report);
         return Promise.resolve({ index: 1 } as R);
     }
 }
 
-void t.test("ends and cleared requests are told until they are taken, and then no more", async t => {
+void t.test("crashes and cleared requests are reported until accepted, and only once", async t => {
     const network = new ReportNetwork();
     const log = new KeptLog();
     const options = { callTimeoutMs: 100, retryMs: 1 };
@@ -39,35 +39,35 @@
     const requests = [{ fingerprint: FINGERPRINT, hasBegun: true }];
     void reporter.run();
     for (let i = 0; i < MOST_REPORTED_ENDS + 1; i++) {
-        reporter.addEnd({ life: `u@${i}`, brokenAt: performance.now(), requests });
+        reporter.addEnd({ life: `u@${i}`, interruptedAt: performance.now(), requests });
     }
-    reporter.addCleared(FINGERPRINT);
-    reporter.addCleared(FINGERPRINT);
+    reporter.addClearedRequest(FINGERPRINT);
+    reporter.addClearedRequest(FINGERPRINT);
     t.match(log.warnings, [{ event: "upstream_end_not_reported", life: `u@${MOST_REPORTED_ENDS}` }]);
-    await waitUntil("both controllers were asked again", () => network.asked > 2 * CONTROLLERS.length);
-    network.isTaking = true;
-    await waitUntil("the report was taken", () => network.taken.length > 0);
-    t.equal(network.taken[0]!.ends.length, MOST_REPORTED_ENDS);
-    t.match(network.taken[0]!.ends[0], { life: "u@0", requests });
-    t.same(network.taken[0]!.cleared, [FINGERPRINT]);
-    reporter.addEnd({ life: "later", brokenAt: performance.now(), requests });
-    await waitUntil("the next report", () => network.taken.length > 1);
-    t.same(network.taken[1]!.ends.map(({ life }) => life), ["later"]);
-    t.same(network.taken[1]!.cleared, []);
+    await waitUntil("both controllers were called again", () => network.callCount > 2 * CONTROLLERS.length);
+    network.isAccepting = true;
+    await waitUntil("the report was accepted", () => network.acceptedReports.length > 0);
+    t.equal(network.acceptedReports[0]!.ends.length, MOST_REPORTED_ENDS);
+    t.match(network.acceptedReports[0]!.ends[0], { life: "u@0", requests });
+    t.same(network.acceptedReports[0]!.cleared, [FINGERPRINT]);
+    reporter.addEnd({ life: "later", interruptedAt: performance.now(), requests });
+    await waitUntil("the next report", () => network.acceptedReports.length > 1);
+    t.same(network.acceptedReports[1]!.ends.map(({ life }) => life), ["later"]);
+    t.same(network.acceptedReports[1]!.cleared, []);
     reporter.stop();
 });
 
-void t.test("a controller that is behind another changes nothing; what is held against a request runs out", async t => {
+void t.test("an outdated list of suspects is ignored, and a quarantine expires", async t => {
     const known = new KnownSuspects();
     t.ok(known.isEmpty());
     const suspect = { fingerprint: FINGERPRINT, isCulprit: true, leftMs: 500 };
-    known.receive({ index: 7, suspects: [suspect] }, 1_000);
-    known.receive({ index: 5, suspects: [] }, 1_100);
-    t.equal(known.tryGetLeftMs(FINGERPRINT, 1_200), 300);
-    t.equal(known.tryGetLeftMs(FINGERPRINT, 1_500), undefined);
-    known.receive({ index: 8, suspects: [{ ...suspect, isCulprit: false }] }, 1_200);
-    t.equal(known.tryGetLeftMs(FINGERPRINT, 1_200), undefined);
+    known.update({ index: 7, suspects: [suspect] }, 1_000);
+    known.update({ index: 5, suspects: [] }, 1_100);
+    t.equal(known.tryGetRemainingMs(FINGERPRINT, 1_200), 300);
+    t.equal(known.tryGetRemainingMs(FINGERPRINT, 1_500), undefined);
+    known.update({ index: 8, suspects: [{ ...suspect, isCulprit: false }] }, 1_200);
+    t.equal(known.tryGetRemainingMs(FINGERPRINT, 1_200), undefined);
     t.ok(known.isSuspect(FINGERPRINT));
-    known.receive({ index: 9, suspects: [] }, 1_300);
+    known.update({ index: 9, suspects: [] }, 1_300);
     t.ok(known.isEmpty());
 });
--- a/test/daemons/upstreamEndWatch.test.ts
+++ b/test/daemons/upstreamEndWatch.test.ts
@@ -1,4 +1,4 @@
-/** An upstream counts as ended where its address refuses connections, and not where only connections to it broke. */
+/** Guards against treating lost connections or a planned stop as an upstream crash. */
 import { createServer } from "node:net";
 import t from "tap";
 import { isListening } from "../../src/adapters/listeningCheck.js";
@@ -24,58 +24,58 @@
     { fingerprint: "bb", hasBegun: false },
 ];
 
-/** Answers as it is told, in turn; the last answer stands. */
+/** Returns the given results in order, repeating the last one. */
 class ListeningUpstreams extends DirectUpstreams {
-    looks = 0;
-    constructor(private readonly answers: readonly (boolean | undefined)[]) {
+    checkCount = 0;
+    constructor(private readonly results: readonly (boolean | undefined)[]) {
         super();
     }
     override isListening(): Promise<boolean | undefined> {
-        const answer = this.answers[Math.min(this.looks, this.answers.length - 1)];
-        this.looks += 1;
+        const answer = this.results[Math.min(this.checkCount, this.results.length - 1)];
+        this.checkCount += 1;
         return Promise.resolve(answer);
     }
     override send(): UpstreamExchange {
-        throw new Error("nothing is sent");
+        throw new Error("unexpected send");
     }
     override forgetExcept(): void {}
     override forget(): void {}
     override close(): void {}
 }
 
-async function watch(answers: readonly (boolean | undefined)[], upstream = UPSTREAM) {
+async function reportInterruptions(answers: readonly (boolean | undefined)[], upstream = UPSTREAM) {
     const upstreams = new ListeningUpstreams(answers);
     const ended: EndedUpstream[] = [];
     const clock = new FakeClock();
     const watcher = new UpstreamEndWatch(upstreams, clock, new NoLog(), end => ended.push(end));
-    REQUESTS.forEach(request => watcher.noteBroken(upstream, request));
+    REQUESTS.forEach(request => watcher.recordInterrupted(upstream, request));
     for (let i = 0; i < 5; i++) {
         await settlePromises();
     }
-    return { ended, brokenAt: clock.getMonotonicMs(), looks: upstreams.looks };
+    return { ended, interruptedAt: clock.getMonotonicMs(), checkCount: upstreams.checkCount };
 }
 
-void t.test("an upstream that refuses connections has ended, with all that broke off there, and is looked at once", async t => {
-    const { ended, brokenAt, looks } = await watch([false]);
-    t.same(ended, [{ life: "u1@5", brokenAt, requests: REQUESTS }]);
-    t.equal(looks, 1);
+void t.test("an upstream that refuses connections is reported after one check, with all interrupted requests", async t => {
+    const { ended, interruptedAt, checkCount } = await reportInterruptions([false]);
+    t.same(ended, [{ life: "u1@5", interruptedAt, requests: REQUESTS }]);
+    t.equal(checkCount, 1);
 });
 
-void t.test("one that still listens is looked at again, and has not ended where it goes on listening", async t => {
-    t.same((await watch([true, false])).ended.length, 1);
-    const { ended, looks } = await watch([true]);
+void t.test("an upstream that still listens is checked a second time, and not reported if it still does", async t => {
+    t.same((await reportInterruptions([true, false])).ended.length, 1);
+    const { ended, checkCount } = await reportInterruptions([true]);
     t.same(ended, []);
-    t.equal(looks, 2);
+    t.equal(checkCount, 2);
 });
 
-void t.test("where nobody can say, and where it said that it leaves, nothing is held against its requests", async t => {
-    t.same((await watch([undefined])).ended, []);
-    const leaving = await watch([false], { ...UPSTREAM, state: "leaving" });
+void t.test("an upstream is not reported if the check is inconclusive or the upstream is draining", async t => {
+    t.same((await reportInterruptions([undefined])).ended, []);
+    const leaving = await reportInterruptions([false], { ...UPSTREAM, state: "leaving" });
     t.same(leaving.ended, []);
-    t.equal(leaving.looks, 0);
+    t.equal(leaving.checkCount, 0);
 });
 
-void t.test("a listener is told from none", async t => {
+void t.test("isListening detects whether a process listens on an address", async t => {
     const server = createServer();
     await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
     const address = `127.0.0.1:${(server.address() as { port: number; }).port}`;
