--- a/src/daemons/directRouter/attempt.ts
+++ b/src/daemons/directRouter/attempt.ts
@@ -1,4 +1,4 @@
-/** One sending of a request to one upstream: passes the answer on as it arrives and says what came of it. */
+/** Sends a request to one upstream, forwards the response as it arrives and reports the outcome. */
 import { EventSplitter } from "../../domain/eventSplitter.js";
 import type { UpstreamSignals } from "../../domain/upstreamSignals.js";
 import type { PassThroughSink } from "../../ports/answerSink.js";
@@ -11,13 +11,16 @@
     UpstreamListener,
 } from "../../ports/directUpstream.js";
 
-/** What came of an attempt. */
 export type AttemptOutcome =
-    /** The caller has the whole answer. `status`: the upstream's. `isFramed`: the answer itself said where it ends. */
+    /**
+     * The complete response was forwarded. `status` is the upstream's HTTP status. `isFramed` is false if the response is
+     * delimited only by the end of its connection.
+     */
     | { readonly type: "answered"; readonly status: number; readonly isFramed: boolean; }
     /**
-     * The upstream certainly has not run it. `replaced`: another upstream has taken its address. `withheld`: nothing was sent,
-     * because the request waited for a connection until it was given up or the upstream was closed to this router.
+     * The upstream definitely did not run the request. `replaced`: a different upstream now listens on the address. `withheld`:
+     * nothing was sent, because the attempt was aborted while waiting for a connection or the upstream stopped accepting
+     * requests from this router.
      */
     | {
         readonly type: "notRun";
@@ -25,112 +28,110 @@
         readonly reason: string;
     }
     /**
-     * It may have run, and the caller does not have the whole answer. `cause`: its connection was lost, what came was no
-     * answer to it, or nothing came for too long.
+     * The request may have run, and the caller does not have the complete response. `cause`: the connection was lost, the
+     * response was invalid, or the upstream sent nothing within the inactivity timeout.
      */
     | {
         readonly type: "interrupted";
         readonly cause: "connection" | "answer" | "silence";
         readonly reason: string;
     }
-    /** The upstream failed after running it; its answer was not passed on, because the request is to be tried again. */
+    /** The upstream returned a server error, which was not forwarded because the request will be retried. */
     | { readonly type: "failed"; readonly status: number; }
-    /** The router gave it up: `stop` was called. */
+    /** The router cancelled the attempt by calling `stop`. */
     | { readonly type: "stopped"; };
 
-/** What the attempts of one request share: how far the caller's answer has come. */
-export class AnswerProgress {
+/** How much of the response the caller has received; shared by all attempts of one request. */
+export class ResponseProgress {
     isHeadSent = false;
-    /** Whether the answer may go on from another upstream: the head says nothing of its length. */
-    mayContinue = false;
-    /** Whole events that the caller has. */
+    /** Whether another upstream may continue the response: the forwarded head declares no content length. */
+    canResume = false;
+    /** Complete events that the caller has received. */
     eventCount = 0;
     lastEventId: string | undefined;
-    /** When the first and the last bytes of a body came, and the longest pause between. Monotonic clock, milliseconds. */
-    firstBytesAt: number | undefined;
+    /** When the first body bytes arrived. Monotonic clock, milliseconds. */
+    firstByteAt: number | undefined;
+    /** Longest interval between two chunks of the body. */
     longestPauseMs = 0;
-    private lastBytesAt = 0;
+    private lastByteAt = 0;
 
-    /** Notes that bytes of a body came. */
-    noteBytes(now: number): void {
-        if (this.firstBytesAt === undefined) {
-            this.firstBytesAt = now;
+    recordBytes(now: number): void {
+        if (this.firstByteAt === undefined) {
+            this.firstByteAt = now;
         }
         else {
-            this.longestPauseMs = Math.max(this.longestPauseMs, now - this.lastBytesAt);
+            this.longestPauseMs = Math.max(this.longestPauseMs, now - this.lastByteAt);
         }
-        this.lastBytesAt = now;
+        this.lastByteAt = now;
     }
 }
 
-/** What an attempt needs to know of its request. */
 export interface AttemptOptions {
     readonly call: UpstreamCall;
     readonly sink: PassThroughSink;
-    readonly progress: AnswerProgress;
-    /** The answer is a stream of events. */
+    readonly progress: ResponseProgress;
+    /** Whether the response is an event stream. */
     readonly isStream: boolean;
-    /** Only whole events are passed on, so that the stream may go on elsewhere. */
+    /** Whether only complete events are forwarded, so that another upstream can resume the stream. */
     readonly isResumable: boolean;
-    /** Whether a failed answer should be tried again; asked once, before anything is passed on. */
-    readonly shouldRetryFailed: () => boolean;
-    /** Silence after which it is given up, in milliseconds; undefined where it is waited for. */
-    readonly silenceMs: number | undefined;
-    /** Called with what the upstream says of itself, where it certainly is the one that was sent to. */
+    /** Whether to retry after a server error. Called at most once, before anything is forwarded. */
+    readonly shouldRetryServerError: () => boolean;
+    /** The attempt is aborted if nothing arrives for this long; undefined for no limit. */
+    readonly inactivityTimeoutMs: number | undefined;
+    /** Called with the upstream's signals if the response is known to come from that upstream. */
     readonly onSignals: (signals: UpstreamSignals) => void;
-    /** Called once, when the body of the answer begins. */
+    /** Called once, when the response body begins. */
     readonly onFirstByte: () => void;
 }
 
-/** Whether an upstream answers that it has done what was asked. */
 export function isSuccess(status: number): boolean {
     return status >= 200 && status < 300;
 }
 
-/** One sending; the upstream tells it what comes. Runs once. */
+/** One attempt at one upstream. `run` may be called only once. */
 export class Attempt implements UpstreamListener {
-    /** Whole events that came in this attempt. */
+    /** Complete events received in this attempt. */
     eventCount = 0;
-    /** Whether the upstream has begun to answer. */
-    hasHead = false;
-    /** Whether the body of an answer has begun. */
+    /** Whether a valid response head was received. */
+    hasAcceptedHead = false;
     hasFirstByte = false;
-    /** When the last bytes came. Monotonic clock, milliseconds. */
-    heardAt = performance.now();
+    /** When the upstream last sent anything. Monotonic clock, milliseconds. */
+    lastActivityAt = performance.now();
     private readonly splitter: EventSplitter | undefined;
     private exchange: UpstreamExchange | undefined;
-    private finish: (outcome: AttemptOutcome) => void = () => undefined;
-    private done = false;
+    private resolveOutcome: (outcome: AttemptOutcome) => void = () => undefined;
+    private isSettled = false;
     private isStarted = false;
     private status = 0;
     private isFramed = false;
-    private silenceTimer: NodeJS.Timeout | undefined;
+    private inactivityTimer: NodeJS.Timeout | undefined;
 
     constructor(private readonly upstreams: DirectUpstreams, private readonly options: AttemptOptions) {
         this.splitter = options.isStream ? new EventSplitter() : undefined;
     }
 
-    /** Sends the request. Resolves when it has come to an end of whatever kind; never rejects. */
+    /** Sends the request. Resolves with the outcome; never rejects. */
     run(): Promise<AttemptOutcome> {
         return new Promise(resolve => {
-            this.finish = resolve;
-            this.watchSilence();
+            this.resolveOutcome = resolve;
+            this.checkInactivity();
             const exchange = this.upstreams.send(this.options.call, this);
             this.exchange = exchange;
             this.options.sink.onDrain(() => exchange.resume());
-            if (this.done) {
+            if (this.isSettled) {
                 exchange.cancel();
             }
         });
     }
 
-    /** Gives the attempt up: the upstream's connection is closed. */
+    /** Cancels the attempt and closes its connection to the upstream. */
     stop(): void {
-        this.endEarly(this.isStarted ? { type: "stopped" } : createWithheld("given up before there was a connection"));
+        this.abort(
+            this.isStarted ? { type: "stopped" } : createNotSentOutcome("cancelled while waiting for a connection"),
+        );
     }
 
-    /** Notes that the upstream has read the prompt. Only the first call counts. */
-    private noteFirstByte(): void {
+    private recordFirstByte(): void {
         if (!this.hasFirstByte) {
             this.hasFirstByte = true;
             this.options.onFirstByte();
@@ -139,18 +140,18 @@
 
     onStart(): void {
         this.isStarted = true;
-        // The wait for a connection is no silence of the upstream.
-        this.heardAt = performance.now();
+        // Waiting for a connection does not count as upstream inactivity.
+        this.lastActivityAt = performance.now();
     }
 
     onHead(head: UpstreamHead): boolean {
-        this.heardAt = performance.now();
+        this.lastActivityAt = performance.now();
         this.status = head.status;
         this.isFramed = head.isFramed;
         if (!head.isOwn) {
-            return this.rejectAnswer("the answer belongs to another request");
+            return this.rejectResponse("response belongs to a different request");
         }
-        // What neither is signed nor turns the request away may come from anything between.
+        // An unsigned response that does not reject the request may come from an intermediary.
         if (!head.isFromAnother && (head.isSigned || head.isNotRun)) {
             this.options.onSignals(head.signals);
         }
@@ -159,41 +160,41 @@
             return this.reject({ type: "notRun", cause, reason: `status ${head.status}` });
         }
         if (!head.isSigned) {
-            return this.rejectAnswer(`status ${head.status} that no engine vouches for`);
+            return this.rejectResponse(`unsigned response with status ${head.status}`);
         }
         if (!isSuccess(head.status) && this.options.progress.isHeadSent) {
-            return this.rejectAnswer(`status ${head.status} where a stream was to go on`);
+            return this.rejectResponse(`status ${head.status} instead of the continuation of a stream`);
         }
-        if (head.status >= 500 && this.options.shouldRetryFailed()) {
+        if (head.status >= 500 && this.options.shouldRetryServerError()) {
             return this.reject({ type: "failed", status: head.status });
         }
-        this.passHead(head);
+        this.forwardHead(head);
         return true;
     }
 
     onData(bytes: Buffer): boolean {
-        this.heardAt = performance.now();
-        this.noteFirstByte();
+        this.lastActivityAt = performance.now();
+        this.recordFirstByte();
         const { sink, progress, isResumable } = this.options;
-        progress.noteBytes(this.heardAt);
-        const whole = this.splitter?.add(bytes);
+        progress.recordBytes(this.lastActivityAt);
+        const completeEvents = this.splitter?.add(bytes);
         if (this.splitter !== undefined) {
-            const added = this.splitter.eventCount - this.eventCount;
-            this.eventCount += added;
-            progress.eventCount += added;
+            const newEventCount = this.splitter.eventCount - this.eventCount;
+            this.eventCount += newEventCount;
+            progress.eventCount += newEventCount;
             progress.lastEventId = this.splitter.lastEventId ?? progress.lastEventId;
         }
         if (!isResumable) {
             return sink.write(bytes);
         }
-        return whole === undefined ? true : sink.write(whole);
+        return completeEvents === undefined ? true : sink.write(completeEvents);
     }
 
     onEnd(): void {
-        if (this.done) {
+        if (this.isSettled) {
             return;
         }
-        this.noteFirstByte();
+        this.recordFirstByte();
         const rest = this.splitter?.takeRest();
         if (this.options.isResumable && rest !== undefined && rest.length > 0) {
             this.options.sink.write(rest);
@@ -209,66 +210,66 @@
         }
         this.settle(
             failure.isWithheld
-                ? createWithheld(failure.reason)
+                ? createNotSentOutcome(failure.reason)
                 : { type: "notRun", cause: "unreachable", reason: failure.reason },
         );
     }
 
-    private passHead(head: UpstreamHead): void {
+    private forwardHead(head: UpstreamHead): void {
         const { progress, sink } = this.options;
-        this.hasHead = true;
+        this.hasAcceptedHead = true;
         if (progress.isHeadSent) {
             return;
         }
         progress.isHeadSent = true;
-        progress.mayContinue = this.options.isResumable && head.status === 200 && head.isFramed
+        progress.canResume = this.options.isResumable && head.status === 200 && head.isFramed
             && !head.headers.some((name, i) => i % 2 === 0 && name.toLowerCase() === "content-length");
         sink.sendHead(head.status, head.headers, head.isFramed);
     }
 
-    private rejectAnswer(reason: string): false {
+    private rejectResponse(reason: string): false {
         return this.reject({ type: "interrupted", cause: "answer", reason });
     }
 
     private reject(outcome: AttemptOutcome): false {
-        this.endEarly(outcome);
+        this.abort(outcome);
         return false;
     }
 
-    private endEarly(outcome: AttemptOutcome): void {
-        if (!this.done) {
+    private abort(outcome: AttemptOutcome): void {
+        if (!this.isSettled) {
             this.settle(outcome);
             this.exchange?.cancel();
         }
     }
 
     private settle(outcome: AttemptOutcome): void {
-        if (!this.done) {
-            this.done = true;
-            clearTimeout(this.silenceTimer);
-            this.finish(outcome);
+        if (!this.isSettled) {
+            this.isSettled = true;
+            clearTimeout(this.inactivityTimer);
+            this.resolveOutcome(outcome);
         }
     }
 
-    private watchSilence(): void {
-        const { silenceMs } = this.options;
-        if (silenceMs === undefined) {
+    private checkInactivity(): void {
+        const { inactivityTimeoutMs } = this.options;
+        if (inactivityTimeoutMs === undefined) {
             return;
         }
-        const left = this.heardAt + silenceMs - performance.now();
-        if (left <= 0) {
-            this.endEarly(
+        const remainingMs = this.lastActivityAt + inactivityTimeoutMs - performance.now();
+        if (remainingMs <= 0) {
+            this.abort(
                 this.isStarted
-                    ? { type: "interrupted", cause: "silence", reason: `silent for ${silenceMs} ms` }
-                    : createWithheld(`no connection for ${silenceMs} ms`),
+                    ? { type: "interrupted", cause: "silence", reason: `no data for ${inactivityTimeoutMs} ms` }
+                    : createNotSentOutcome(`no connection within ${inactivityTimeoutMs} ms`),
             );
             return;
         }
-        this.silenceTimer = setTimeout(() => this.watchSilence(), left);
+        this.inactivityTimer = setTimeout(() => this.checkInactivity(), remainingMs);
     }
 }
 
-/** Nothing was sent, through no fault of the upstream. */
-function createWithheld(reason: string): AttemptOutcome {
+/** Creates the outcome of an attempt that sent nothing for a reason other than an upstream failure. */
+function createNotSentOutcome(reason: string): AttemptOutcome {
     return { type: "notRun", cause: "withheld", reason };
 }
--- a/src/daemons/directRouter/directRouterDaemon.ts
+++ b/src/daemons/directRouter/directRouterDaemon.ts
@@ -41,7 +41,7 @@
 import type { PlacementSharer } from "./placementSharer.js";
 import type { PrepaidBorrower } from "./prepaidBorrower.js";
 import type { PrepaidReporter } from "./prepaidReporter.js";
-import { type AnswerStory, type RefusalEnding, RelayContext, type RelayOptions } from "./relayContext.js";
+import { type RefusalDetails, RelayContext, type RelayOptions, type ResponseDetails } from "./relayContext.js";
 import type { RelayRequest, ResolvedRequest } from "./relayRequest.js";
 import { RelayRun } from "./relayRun.js";
 import type { RequestQuarantine } from "./requestQuarantine.js";
@@ -205,7 +205,7 @@
     async handle(request: RelayRequest, sink: PassThroughSink): Promise<void> {
         const resolved = this.resolve(request);
         if ("code" in resolved) {
-            this.logRefusal(request, "", resolved, { endedEarly: undefined, overMs: undefined });
+            this.logRefusal(request, "", resolved, { abortCause: undefined, overdueMs: undefined });
             sink.refuse(resolved);
             return;
         }
@@ -285,8 +285,8 @@
         this.signals.record(upstream, signals, sentAt);
     }
 
-    override recordLimitedSending(): void {
-        this.recorder.recordLimitedSending();
+    override recordRateLimitedSend(): void {
+        this.recorder.recordRateLimitedSend();
     }
 
     override getRetryBudget(service: string): RetryBudget {
@@ -308,7 +308,7 @@
         return Math.max(this.others.getCount(), this.options.assumedRouters);
     }
 
-    override async waitGrant(account: string, tokens: number, rank: number, timeoutMs: number): Promise<void> {
+    override async waitForGrant(account: string, tokens: number, rank: number, timeoutMs: number): Promise<void> {
         const giveUp = this.clock.wait(timeoutMs);
         if (await Promise.race([this.borrower.borrowFromHolder(account, tokens, rank), giveUp]) === true) {
             return;
@@ -325,19 +325,19 @@
         }
     }
 
-    override getLoopLateMs(): number {
+    override getEventLoopLagMs(): number {
         return this.loop.arrivals.getLateMs();
     }
 
-    override recordAnswered(resolved: ResolvedRequest, story: AnswerStory): void {
+    override recordAnswered(resolved: ResolvedRequest, story: ResponseDetails): void {
         this.recorder.recordAnswered(resolved, story);
     }
 
-    override recordRefused(resolved: ResolvedRequest, refusal: Refusal, ending: RefusalEnding): void {
+    override recordRefused(resolved: ResolvedRequest, refusal: Refusal, ending: RefusalDetails): void {
         this.logRefusal(resolved.request, resolved.route.name, refusal, ending);
     }
 
-    private logRefusal(request: RelayRequest, route: string, refusal: Refusal, ending: RefusalEnding): void {
+    private logRefusal(request: RelayRequest, route: string, refusal: Refusal, ending: RefusalDetails): void {
         this.recorder.recordRefused(request, refusal, {
             route,
             account: this.index?.tryGetAccount(request.key ?? "")?.name,
--- a/src/daemons/directRouter/relayContext.ts
+++ b/src/daemons/directRouter/relayContext.ts
@@ -1,4 +1,4 @@
-/** What the requests of one router share. */
+/** State and operations of a router that its requests share. */
 import type { BundleService } from "../../domain/bundle.js";
 import type { PrepaidPurse } from "../../domain/prepaidPurse.js";
 import type { Refusal } from "../../domain/resultCodes.js";
@@ -12,48 +12,50 @@
 import type { RelayRequest, ResolvedRequest } from "./relayRequest.js";
 import type { RequestQuarantine } from "./requestQuarantine.js";
 
-/** How long requests wait, and how long callers are told to. Times in milliseconds. */
+/** Request timeouts and Retry-After values, in milliseconds. */
 export interface RelayOptions {
-    /** When a caller that was refused for want of an upstream should come back. */
+    /** Retry-After when no upstream is available. */
     readonly retryAfterMs: number;
-    /** The same where the router has just started: when it will have heard what is in force. */
+    /** Retry-After while the router has no configuration bundle yet. */
     readonly startRetryAfterMs: number;
-    /** The same where it was refused for want of a grant: when a router that is cut off may be back. */
+    /** Retry-After when the router cannot obtain prepaid tokens, for example during a network partition. */
     readonly grantRetryAfterMs: number;
-    /** How long a request waits for a grant. */
+    /** How long a request waits for prepaid tokens. */
     readonly grantWaitMs: number;
-    /** Least silence of an upstream after which a request that may be repeated goes elsewhere. */
+    /** Minimum inactivity after which a repeatable request is sent to another upstream. */
     readonly leastSilenceMs: number;
-    /** The same in multiples of the route's goal. */
+    /** The same as a multiple of the route's latency goal. */
     readonly silenceGoals: number;
 }
 
-/** How a request came to its answer, for logs. Ages count from its arrival, in milliseconds. */
-export interface AnswerStory {
-    /** The upstream's status. */
+/** Details of a completed response, for logs. Ages are relative to the arrival of the request, in milliseconds. */
+export interface ResponseDetails {
+    /** HTTP status returned by the upstream. */
     readonly status: number;
-    /** When prepaid tokens were set aside for the last sending. */
+    /** When prepaid tokens were reserved for the last attempt. */
     readonly reservedAgeMs: number;
-    /** When the body began; undefined where there is none. */
-    readonly firstBytesAgeMs: number | undefined;
-    /** Longest pause within the body. */
+    /** When the body began; undefined if there is none. */
+    readonly firstByteAgeMs: number | undefined;
+    /** Longest interval between two chunks of the body. */
     readonly longestPauseMs: number;
-    readonly sendings: number;
-    /** Where it was sent last, what that upstream had to read of it, and how long it had to read before. */
+    readonly sendCount: number;
+    /** Id of the last upstream that the request was sent to. */
     readonly upstream: string;
+    /** Prompt tokens that this upstream probably had to read. */
     readonly newTokens: number;
+    /** Estimated time that this upstream needed to read prompts queued earlier. */
     readonly aheadMs: number;
 }
 
-/** How a request came to be refused, for logs. */
-export interface RefusalEnding {
-    /** Why the router broke off, where it did. */
-    readonly endedEarly: "gone" | "late" | undefined;
-    /** Time since its deadline, in milliseconds; undefined before it. */
-    readonly overMs: number | undefined;
+/** Details of a refused request, for logs. */
+export interface RefusalDetails {
+    /** Why the router aborted the request: the caller disconnected (`gone`) or the deadline passed (`late`). */
+    readonly abortCause: "gone" | "late" | undefined;
+    /** Time since the deadline, in milliseconds; undefined if it has not passed. */
+    readonly overdueMs: number | undefined;
 }
 
-/** What a request asks of its router. */
+/** The interface of a router to its requests. */
 export abstract class RelayContext {
     abstract readonly options: RelayOptions;
     abstract readonly log: Log;
@@ -64,30 +66,28 @@
     abstract readonly upstreams: DirectUpstreams;
     abstract readonly quarantine: RequestQuarantine;
 
-    /** Longest wait with which every answer of a service is in time, in milliseconds. */
+    /** Longest wait with which every response of a service meets its latency goal, in milliseconds. */
     abstract getLongestWaitMs(service: string): number;
-    /** Tells the other routers of a sending. */
+    /** Reports a placement to the other routers. */
     abstract sharePlacement(placement: Placement, request: RelayRequest): void;
-    /** How many routers there are, as far as is known; at least 1. */
+    /** Number of known routers, including this one. */
     abstract getRouterCount(): number;
-    /** Age beyond which an upstream that has not been heard counts as lost, in milliseconds. */
+    /** Maximum age of an upstream's last report before it counts as lost, in milliseconds. */
     abstract getMaxUpstreamAgeMs(): number;
-    /** Notes that another upstream was met at the address of one, and tells the controllers. */
+    /** Records that a different upstream was found at an upstream's address, and notifies the controllers. */
     abstract recordReplaced(upstream: UpstreamRegistration): void;
-    /** Takes what an upstream says of itself beside the answer to a request that was sent to it at `sentAt`. */
+    /** Records the signals in the response to a request that was sent at `sentAt`. */
     abstract recordSignals(upstream: UpstreamRegistration, signals: UpstreamSignals, sentAt: number): void;
-    /** Notes a sending to an upstream that names a limit. */
-    abstract recordLimitedSending(): void;
-    /** Connections that this router may hold to one upstream of a service. */
+    /** Counts a request sent to an upstream that announces a rate limit. */
+    abstract recordRateLimitedSend(): void;
+    /** Maximum number of connections of this router to one upstream of a service. */
     abstract getMaxConnections(service: BundleService): number;
-    /** The budget of retries that the requests to a service share. */
+    /** Returns the retry budget shared by all requests to a service. */
     abstract getRetryBudget(service: string): RetryBudget;
-    /** Asks for tokens of an account; resolves when there may be more of them, or after `timeoutMs`. */
-    abstract waitGrant(account: string, tokens: number, rank: number, timeoutMs: number): Promise<void>;
-    /** How late this router's event loop is just now, in milliseconds; 0 where it is in time. */
-    abstract getLoopLateMs(): number;
-    /** Notes that the caller has the whole answer. */
-    abstract recordAnswered(resolved: ResolvedRequest, story: AnswerStory): void;
-    /** Notes a refusal. */
-    abstract recordRefused(resolved: ResolvedRequest, refusal: Refusal, ending: RefusalEnding): void;
+    /** Requests tokens of an account; resolves when more may be available, or after `timeoutMs`. */
+    abstract waitForGrant(account: string, tokens: number, rank: number, timeoutMs: number): Promise<void>;
+    /** Current lag of the event loop, in milliseconds. */
+    abstract getEventLoopLagMs(): number;
+    abstract recordAnswered(resolved: ResolvedRequest, story: ResponseDetails): void;
+    abstract recordRefused(resolved: ResolvedRequest, refusal: Refusal, ending: RefusalDetails): void;
 }
--- a/src/daemons/directRouter/relayRun.ts
+++ b/src/daemons/directRouter/relayRun.ts
@@ -1,6 +1,6 @@
 /**
- * One caller's request: admitted against the account's grant, sent to one upstream or, where that is allowed, to
- * another one after it, until the caller has a final answer.
+ * Processes one request: reserves prepaid tokens, sends the request to an upstream and, where the route allows it, retries at
+ * other upstreams until the caller has a final response.
  */
 import { createRefusal, type Refusal } from "../../domain/resultCodes.js";
 import { isWorthSending } from "../../domain/sendingTime.js";
@@ -9,36 +9,34 @@
 import type { LoadOutcome, Placement, StartedPlacement } from "../../domain/upstreamLoad.js";
 import type { UpstreamRegistration } from "../../domain/upstreamRegistry.js";
 import type { PassThroughSink } from "../../ports/answerSink.js";
-import { AnswerProgress, Attempt, type AttemptOutcome, isSuccess } from "./attempt.js";
-import type { AnswerStory, RelayContext } from "./relayContext.js";
+import { Attempt, type AttemptOutcome, isSuccess, ResponseProgress } from "./attempt.js";
+import type { RelayContext, ResponseDetails } from "./relayContext.js";
 import { computeRequestFingerprint, type ResolvedRequest } from "./relayRequest.js";
 import { TokenReservation } from "./tokenReservation.js";
 
-/** Highest number of a priority. */
 const LOWEST_PRIORITY = 9;
-/** Ranks of routes within one rank of accounts: an account's rank goes before the route's. */
-const ROUTE_RANKS = 3;
+/** Number of route ranks within each account rank; the account rank takes precedence. */
+const ROUTE_RANK_COUNT = 3;
 
-/** Serves one request, whose sendings it makes one after the other. */
+/** Processes one request. Attempts are made sequentially. */
 export class RelayRun {
-    private readonly progress = new AnswerProgress();
-    private readonly tried = new Set<string>();
+    private readonly progress = new ResponseProgress();
+    private readonly triedUpstreamIds = new Set<string>();
     /** Monotonic clock, milliseconds. */
     private readonly deadline: number;
     private readonly tokens: TokenReservation;
     private attempt: Attempt | undefined;
     private placement: Placement | undefined;
     private reservedAt = 0;
-    private sendings = 0;
-    /** Sendings that count for no attempt of the route: the upstream was not there any more, or nothing was sent after all. */
-    private uncounted = 0;
-    /** Something under this request may have run. */
+    private sendCount = 0;
+    /** Attempts that do not count towards `maxAttempts`: the upstream had been replaced, or nothing was sent. */
+    private uncountedSends = 0;
     private mayHaveRun = false;
-    private endedEarly: "gone" | "late" | undefined;
-    private lastReason = "";
-    /** How long until an upstream may take the request that none could just now, in milliseconds; undefined where nobody knows. */
+    private abortCause: "gone" | "late" | undefined;
+    private lastFailureReason = "";
+    /** Time until an upstream may accept the request, if none does at present, in milliseconds; undefined if unknown. */
     private candidateWaitMs: number | undefined;
-    /** Why the upstreams that take new work did not get it. */
+    /** Why no ready upstream could be used. */
     private closedCauses: readonly ClosedCause[] = [];
 
     constructor(
@@ -48,13 +46,13 @@
     ) {
         const { request, route } = resolved;
         this.deadline = request.arrivedAt + Math.min(route.timeoutMs, request.waitMs ?? Infinity);
-        this.tokens = new TokenReservation(context, resolved, this.deadline, () => this.endedEarly !== undefined);
+        this.tokens = new TokenReservation(context, resolved, this.deadline, () => this.abortCause !== undefined);
     }
 
-    /** Serves the request; resolves when its final answer has been given. */
+    /** Resolves when the final response has been written or the caller has disconnected. */
     async run(): Promise<void> {
-        const timer = setTimeout(() => this.endEarly("late"), Math.max(0, this.deadline - performance.now()));
-        this.sink.onGone(() => this.endEarly("gone"));
+        const timer = setTimeout(() => this.abort("late"), Math.max(0, this.deadline - performance.now()));
+        this.sink.onGone(() => this.abort("gone"));
         try {
             await this.runAttempts();
         }
@@ -63,39 +61,39 @@
         }
     }
 
-    private endEarly(cause: "gone" | "late"): void {
-        this.endedEarly ??= cause;
+    private abort(cause: "gone" | "late"): void {
+        this.abortCause ??= cause;
         this.attempt?.stop();
     }
 
     private async runAttempts(): Promise<void> {
         for (;;) {
-            const quarantineMs = this.context.quarantine.tryGetRemainingMs(this.resolved);
-            if (quarantineMs !== undefined) {
-                this.finish(createRefusal("requestQuarantined", undefined, "no", quarantineMs));
+            const remainingQuarantineMs = this.context.quarantine.tryGetRemainingMs(this.resolved);
+            if (remainingQuarantineMs !== undefined) {
+                this.finishWithRefusal(createRefusal("requestQuarantined", undefined, "no", remainingQuarantineMs));
                 return;
             }
             const refusal = await this.tokens.reserve(this.progress.eventCount, this.mayHaveRun);
             if (refusal !== undefined) {
-                this.finish(refusal);
+                this.finishWithRefusal(refusal);
                 return;
             }
             this.reservedAt = performance.now();
-            if (!this.hasTimeLeft()) {
-                // A router that lags behind may come to a request when its time is up.
+            if (!this.hasTimeToSend()) {
+                // An event loop that lags may reach a request only after its deadline.
                 this.tokens.release();
-                this.finish(this.createLateRefusal());
+                this.finishWithRefusal(this.createIncompleteRefusal());
                 return;
             }
-            const placement = this.tryPlace();
+            const placement = this.trySelectUpstream();
             if (placement === undefined) {
                 this.tokens.release();
-                this.finish(this.createUnplacedRefusal());
+                this.finishWithRefusal(this.createNoUpstreamRefusal());
                 return;
             }
             const outcome = await this.runAttempt(placement);
-            if (!this.mayGoOn(outcome)) {
-                this.finishAfter(outcome);
+            if (!this.shouldRetry(outcome)) {
+                this.finishWithOutcome(outcome);
                 return;
             }
         }
@@ -103,7 +101,7 @@
 
     // Attempts
 
-    private tryPlace(): Placement | undefined {
+    private trySelectUpstream(): Placement | undefined {
         const { request, service } = this.resolved;
         const { load, candidates } = this.context;
         const now = performance.now();
@@ -111,7 +109,7 @@
         this.candidateWaitMs = waitMs;
         this.closedCauses = closed;
         const terms = {
-            tried: this.tried,
+            tried: this.triedUpstreamIds,
             routers: this.context.getRouterCount(),
             longestWaitMs: this.context.getLongestWaitMs(service.name),
         };
@@ -120,46 +118,46 @@
 
     private async runAttempt(placement: Placement): Promise<AttemptOutcome> {
         const { load } = this.context;
-        this.tried.add(placement.upstream.id);
+        this.triedUpstreamIds.add(placement.upstream.id);
         this.placement = placement;
         const { request } = this.resolved;
         const now = performance.now();
         const started = load.recordStart(placement, request, now);
         const isLimited = this.context.candidates.recordSend(placement.upstream, this.resolved.service, now);
         if (isLimited) {
-            this.context.recordLimitedSending();
+            this.context.recordRateLimitedSend();
         }
         this.context.sharePlacement(placement, request);
         const attempt = this.createAttempt(started, isLimited);
         this.attempt = attempt;
-        this.sendings += 1;
-        const outcome = this.endedEarly === undefined
+        this.sendCount += 1;
+        const outcome = this.abortCause === undefined
             ? await attempt.run()
-            : { type: "notRun", cause: "full", reason: "given up before it was sent" } as const;
+            : { type: "notRun", cause: "full", reason: "aborted before it was sent" } as const;
         if (!attempt.hasFirstByte) {
             load.recordUnanswered(started);
         }
         load.recordEnd(placement);
         this.mayHaveRun ||= outcome.type !== "notRun";
-        this.recordOutcome(placement.upstream, outcome, attempt.hasHead);
+        this.recordOutcome(placement.upstream, outcome, attempt.hasAcceptedHead);
         this.tokens.settle(attempt, outcome);
         return outcome;
     }
 
-    /** `isLimited`: it counts towards a limit that the upstream names. */
+    /** `isLimited`: whether the request was counted towards a rate limit of the upstream. */
     private createAttempt(placement: StartedPlacement, isLimited: boolean): Attempt {
         const { request, route, service, account } = this.resolved;
         const { options } = this.context;
         const accountRank = account?.rank ?? 0;
         const sentAt = performance.now();
-        const mayMove = this.isRepeatable() && this.countAttempts() + 1 < route.maxAttempts;
+        const canRetryElsewhere = this.isRepeatable() && this.countAttempts() + 1 < route.maxAttempts;
         return new Attempt(this.context.upstreams, {
             call: {
                 upstream: placement.upstream,
                 request: request.passed,
                 account: account?.name,
                 remainingMs: Math.max(1, Math.floor(this.deadline - performance.now())),
-                priority: Math.min(LOWEST_PRIORITY, accountRank * ROUTE_RANKS + route.rank),
+                priority: Math.min(LOWEST_PRIORITY, accountRank * ROUTE_RANK_COUNT + route.rank),
                 resumeAfter: this.progress.isHeadSent ? this.progress.lastEventId : undefined,
                 maxConnections: this.context.getMaxConnections(service),
                 mayStart: () => this.context.candidates.mayStart(placement.upstream, isLimited, performance.now()),
@@ -168,8 +166,10 @@
             progress: this.progress,
             isStream: route.kind === "stream",
             isResumable: route.kind === "stream" && route.isResumable,
-            shouldRetryFailed: () => this.isRepeatable() && this.mayTryAgain(),
-            silenceMs: mayMove ? Math.max(options.leastSilenceMs, route.goalMs * options.silenceGoals) : undefined,
+            shouldRetryServerError: () => this.isRepeatable() && this.tryClaimRetry(),
+            inactivityTimeoutMs: canRetryElsewhere
+                ? Math.max(options.leastSilenceMs, route.goalMs * options.silenceGoals)
+                : undefined,
             onSignals: signals => this.context.recordSignals(placement.upstream, signals, sentAt),
             onFirstByte: () => this.context.load.recordFirstByte(placement, performance.now()),
         });
@@ -181,38 +181,42 @@
             this.context.load.recordOutcome(upstream, loadOutcome, performance.now());
         }
         if (outcome.type === "notRun" && outcome.cause === "replaced") {
-            this.uncounted += 1;
+            this.uncountedSends += 1;
             this.context.recordReplaced(upstream);
         }
         if (outcome.type === "notRun" && outcome.cause === "withheld") {
-            this.uncounted += 1;
+            this.uncountedSends += 1;
         }
         if (outcome.type === "answered") {
             return;
         }
-        this.lastReason = "reason" in outcome ? outcome.reason : outcome.type;
+        this.lastFailureReason = "reason" in outcome ? outcome.reason : outcome.type;
         if (outcome.type !== "interrupted") {
-            this.logUnanswered(upstream.id, outcome.type);
+            this.logUnsuccessfulAttempt(upstream.id, outcome.type);
             return;
         }
-        const broken = { fingerprint: computeRequestFingerprint(this.resolved), hasBegun };
-        this.logUnanswered(upstream.id, outcome.type, broken);
+        const brokenRequest = { fingerprint: computeRequestFingerprint(this.resolved), hasBegun };
+        this.logUnsuccessfulAttempt(upstream.id, outcome.type, brokenRequest);
         if (outcome.cause === "connection") {
-            this.context.quarantine.recordInterrupted(this.context.registry.getNewest(upstream), broken);
+            this.context.quarantine.recordInterrupted(this.context.registry.getNewest(upstream), brokenRequest);
         }
     }
 
-    private logUnanswered(upstream: string, outcome: AttemptOutcome["type"], broken?: BrokenRequest): void {
+    private logUnsuccessfulAttempt(
+        upstream: string,
+        outcome: AttemptOutcome["type"],
+        brokenRequest?: BrokenRequest,
+    ): void {
         const { request, route } = this.resolved;
         this.context.log.info("attempt_ended", {
             request: request.passed.id,
             route: route.name,
             upstream,
-            attempt: this.sendings,
+            attempt: this.sendCount,
             outcome,
-            reason: this.lastReason,
-            begun: broken?.hasBegun,
-            fingerprint: broken?.fingerprint,
+            reason: this.lastFailureReason,
+            begun: brokenRequest?.hasBegun,
+            fingerprint: brokenRequest?.fingerprint,
             age_ms: Math.round(performance.now() - request.arrivedAt),
         });
     }
@@ -222,104 +226,111 @@
         return kind === "repeatable" || (kind === "stream" && isResumable);
     }
 
-    /** Whether the request should be sent to another upstream after this outcome. Spends from the retry budget. */
-    private mayGoOn(outcome: AttemptOutcome): boolean {
+    /** Whether to send the request to another upstream after this outcome. May spend from the retry budget. */
+    private shouldRetry(outcome: AttemptOutcome): boolean {
         switch (outcome.type) {
             case "answered":
             case "stopped":
                 return false;
             case "failed":
-                // The retry was paid for when the failed answer was held back.
+                // `shouldRetryServerError` has already spent the retry.
                 return true;
             case "notRun":
                 return outcome.cause === "unreachable" || outcome.cause === "withheld"
-                    ? this.hasTimeLeft()
-                    : this.mayTryAgain();
+                    ? this.hasTimeToSend()
+                    : this.tryClaimRetry();
             case "interrupted":
-                return this.isRepeatable() && this.mayContinueAnswer() && this.mayTryAgain();
+                return this.isRepeatable() && this.canResumeResponse() && this.tryClaimRetry();
         }
     }
 
-    private mayContinueAnswer(): boolean {
-        return !this.progress.isHeadSent || (this.progress.mayContinue && this.progress.lastEventId !== undefined);
+    private canResumeResponse(): boolean {
+        return !this.progress.isHeadSent || (this.progress.canResume && this.progress.lastEventId !== undefined);
     }
 
-    private mayTryAgain(): boolean {
+    private tryClaimRetry(): boolean {
         const { route, service } = this.resolved;
-        return this.countAttempts() < route.maxAttempts && this.hasTimeLeft()
+        return this.countAttempts() < route.maxAttempts && this.hasTimeToSend()
             && this.context.getRetryBudget(service.name).trySpend();
     }
 
     private countAttempts(): number {
-        return this.sendings - this.uncounted;
+        return this.sendCount - this.uncountedSends;
     }
 
-    private hasTimeLeft(): boolean {
-        const leftMs = this.deadline - performance.now();
-        return this.endedEarly === undefined && isWorthSending(leftMs, this.context.getLoopLateMs());
+    private hasTimeToSend(): boolean {
+        const remainingMs = this.deadline - performance.now();
+        return this.abortCause === undefined && isWorthSending(remainingMs, this.context.getEventLoopLagMs());
     }
 
-    // Final answers
+    // Final responses
 
-    private finishAfter(outcome: AttemptOutcome): void {
+    private finishWithOutcome(outcome: AttemptOutcome): void {
         if (outcome.type === "answered") {
-            // A failure does not show that the request can be run: the upstream may not have got as far as its end.
+            // An error response does not prove that the request is harmless: it may not have run to completion.
             if (outcome.isFramed && isSuccess(outcome.status)) {
                 this.context.quarantine.recordCompleteResponse(this.resolved);
             }
-            this.context.recordAnswered(this.resolved, this.createStory(outcome.status));
+            this.context.recordAnswered(this.resolved, this.createResponseDetails(outcome.status));
             return;
         }
-        if (this.endedEarly === "late" || this.mayHaveRun) {
-            this.finish(this.createLateRefusal());
+        if (this.abortCause === "late" || this.mayHaveRun) {
+            this.finishWithRefusal(this.createIncompleteRefusal());
             return;
         }
-        this.finish(createRefusal("queueFull", this.lastReason, "no", this.context.options.retryAfterMs));
+        this.finishWithRefusal(
+            createRefusal("queueFull", this.lastFailureReason, "no", this.context.options.retryAfterMs),
+        );
     }
 
-    private createStory(status: number): AnswerStory {
+    private createResponseDetails(status: number): ResponseDetails {
         const { arrivedAt } = this.resolved.request;
-        const { firstBytesAt, longestPauseMs } = this.progress;
+        const { firstByteAt: firstByteAt, longestPauseMs } = this.progress;
         const { upstream, newTokens, aheadMs } = this.placement!;
         return {
             status,
             reservedAgeMs: this.reservedAt - arrivedAt,
-            firstBytesAgeMs: firstBytesAt === undefined ? undefined : firstBytesAt - arrivedAt,
+            firstByteAgeMs: firstByteAt === undefined ? undefined : firstByteAt - arrivedAt,
             longestPauseMs,
-            sendings: this.sendings,
+            sendCount: this.sendCount,
             upstream: upstream.id,
             newTokens,
             aheadMs,
         };
     }
 
-    /** The refusal where no upstream may take the request now; the caller is told when one may, where that is known. */
-    private createUnplacedRefusal(): Refusal {
+    /** Creates the refusal for when no upstream can be used; Retry-After covers the time until one may be. */
+    private createNoUpstreamRefusal(): Refusal {
         const { retryAfterMs } = this.context.options;
         const reason = this.closedCauses.length > 0
             ? `upstreams are ${formatCauses(this.closedCauses)}`
-            : this.lastReason;
+            : this.lastFailureReason;
         return createRefusal("noUpstream", reason, "no", Math.max(retryAfterMs, this.candidateWaitMs ?? 0));
     }
 
-    private createLateRefusal(): Refusal {
+    private createIncompleteRefusal(): Refusal {
         if (!this.mayHaveRun) {
-            return createRefusal("noUpstream", "the deadline passed", "no", this.context.options.retryAfterMs);
+            return createRefusal(
+                "noUpstream",
+                "deadline passed before the request could run",
+                "no",
+                this.context.options.retryAfterMs,
+            );
         }
-        return this.endedEarly === "late"
-            ? createRefusal("deadlinePassed", this.lastReason, "unknown")
-            : createRefusal("upstreamFailed", this.lastReason, "unknown");
+        return this.abortCause === "late"
+            ? createRefusal("deadlinePassed", this.lastFailureReason, "unknown")
+            : createRefusal("upstreamFailed", this.lastFailureReason, "unknown");
     }
 
-    private finish(cause: Refusal): void {
-        // Whatever ended the last sending, an earlier one may have run.
-        const refusal: Refusal = this.mayHaveRun ? { ...cause, ran: "unknown" } : cause;
-        const overMs = performance.now() - this.deadline;
+    private finishWithRefusal(originalRefusal: Refusal): void {
+        // An earlier attempt may have run even if the last one did not.
+        const refusal: Refusal = this.mayHaveRun ? { ...originalRefusal, ran: "unknown" } : originalRefusal;
+        const overdueMs = performance.now() - this.deadline;
         this.context.recordRefused(this.resolved, refusal, {
-            endedEarly: this.endedEarly,
-            overMs: overMs > 0 ? overMs : undefined,
+            abortCause: this.abortCause,
+            overdueMs: overdueMs > 0 ? overdueMs : undefined,
         });
-        if (this.endedEarly === "gone") {
+        if (this.abortCause === "gone") {
             return;
         }
         if (this.progress.isHeadSent) {
@@ -331,14 +342,14 @@
     }
 }
 
-/** Each cause once, with how many upstreams it closes. */
+/** Formats each cause with the number of upstreams that it affects. */
 function formatCauses(causes: readonly ClosedCause[]): string {
     const counts = new Map<string, number>();
     causes.forEach(cause => counts.set(cause, 1 + (counts.get(cause) ?? 0)));
     return [...counts].map(([cause, count]) => `${cause} (${count})`).join(", ");
 }
 
-/** What an outcome says of its upstream; undefined where the router broke off and it says nothing. */
+/** Converts an attempt's outcome for load tracking; undefined if it tells nothing about the upstream's health. */
 function tryGetLoadOutcome(outcome: AttemptOutcome): LoadOutcome | undefined {
     switch (outcome.type) {
         case "answered":
--- a/src/daemons/directRouter/requestRecorder.ts
+++ b/src/daemons/directRouter/requestRecorder.ts
@@ -1,70 +1,69 @@
-/** Tells logs and metrics how each request of a router ended: one line a request. */
+/** Writes a log line and updates metrics for each finished request. */
 import { formatRefusal, type Refusal } from "../../domain/resultCodes.js";
 import type { Log, LogFields } from "../../ports/log.js";
 import type { Metrics } from "../../ports/metrics.js";
-import type { AnswerStory, RefusalEnding } from "./relayContext.js";
+import type { RefusalDetails, ResponseDetails } from "./relayContext.js";
 import type { RelayRequest, ResolvedRequest } from "./relayRequest.js";
 
-/** What was known of a request that was refused. */
-export interface RefusalStory extends RefusalEnding {
-    /** Empty where none was found. */
+export interface RefusalLogDetails extends RefusalDetails {
+    /** Name of the route; empty if none matched. */
     readonly route: string;
     readonly account: string | undefined;
-    /** Revision of the bundle in force. */
+    /** Revision of the active bundle. */
     readonly revision: number | undefined;
 }
 
 export class RequestRecorder {
     constructor(private readonly log: Log, private readonly metrics: Metrics) {}
 
-    /** Notes that the caller has the whole answer. */
-    recordAnswered({ request, route }: ResolvedRequest, story: AnswerStory): void {
-        const age = performance.now() - request.arrivedAt;
+    /** Records a complete response. */
+    recordAnswered({ request, route }: ResolvedRequest, details: ResponseDetails): void {
+        const ageMs = performance.now() - request.arrivedAt;
         this.metrics.addCount("requests_answered");
-        this.metrics.recordTiming("request_ms", age);
+        this.metrics.recordTiming("request_ms", ageMs);
         this.log.info("request_answered", {
             request: request.passed.id,
             route: route.name,
-            status: story.status,
+            status: details.status,
             goal_ms: route.goalMs,
-            reserved_ms: Math.round(story.reservedAgeMs),
-            first_ms: story.firstBytesAgeMs === undefined ? undefined : Math.round(story.firstBytesAgeMs),
-            pause_ms: Math.round(story.longestPauseMs),
-            sendings: story.sendings,
-            upstream: story.upstream,
-            read_tokens: story.newTokens,
-            ahead_ms: Math.round(story.aheadMs),
-            ...formatTimes(request),
-            age_ms: Math.round(age),
+            reserved_ms: Math.round(details.reservedAgeMs),
+            first_ms: details.firstByteAgeMs === undefined ? undefined : Math.round(details.firstByteAgeMs),
+            pause_ms: Math.round(details.longestPauseMs),
+            sendings: details.sendCount,
+            upstream: details.upstream,
+            read_tokens: details.newTokens,
+            ahead_ms: Math.round(details.aheadMs),
+            ...formatReadDelays(request),
+            age_ms: Math.round(ageMs),
         });
     }
 
-    /** Notes a sending to an upstream that names a limit. */
-    recordLimitedSending(): void {
+    /** Counts a request sent to an upstream that announces a rate limit. */
+    recordRateLimitedSend(): void {
         this.metrics.addCount("limited_sendings");
     }
 
-    /** Notes a refusal, or an answer that was broken off. */
-    recordRefused(request: RelayRequest, refusal: Refusal, story: RefusalStory): void {
+    /** Records a refusal or an incomplete response. */
+    recordRefused(request: RelayRequest, refusal: Refusal, details: RefusalLogDetails): void {
         this.metrics.addCount("requests_refused");
         this.metrics.addCount(`requests_refused_${refusal.code}`);
         this.log.warn("request_refused", {
             request: request.passed.id,
-            route: story.route,
+            route: details.route,
             refusal: formatRefusal(refusal),
-            account: story.account,
+            account: details.account,
             ran: refusal.ran,
-            ended_early: story.endedEarly,
-            over_ms: story.overMs === undefined ? undefined : Math.round(story.overMs),
-            ...formatTimes(request),
+            ended_early: details.abortCause,
+            over_ms: details.overdueMs === undefined ? undefined : Math.round(details.overdueMs),
+            ...formatReadDelays(request),
             age_ms: Math.round(performance.now() - request.arrivedAt),
-            revision: story.revision,
+            revision: details.revision,
         });
     }
 }
 
-/** How long a request waited before it was read, and for its connection to be read from; left out where it did not wait. */
-function formatTimes({ arrivedAt, readAt, connectedAt = readAt }: RelayRequest): LogFields {
+/** Formats the delays before a request and its connection were read; zero delays are omitted. */
+function formatReadDelays({ arrivedAt, readAt, connectedAt = readAt }: RelayRequest): LogFields {
     return {
         unread_ms: Math.round(readAt - arrivedAt) || undefined,
         connected_ms: Math.round(readAt - connectedAt) || undefined,
