--- a/src/daemons/directRouter/directRouterDaemon.ts
+++ b/src/daemons/directRouter/directRouterDaemon.ts
@@ -1,4 +1,4 @@
-/** A router that reaches its upstreams itself: keeps what the controllers say in force and serves callers by it. */
+/** A router that connects directly to its upstreams: follows the controllers' configuration and handles callers' requests. */
 import { BundleIndex, type BundleService, pickTarget } from "../../domain/bundle.js";
 import { EvacuatedZones } from "../../domain/evacuatedZones.js";
 import type { EvacuationList } from "../../domain/evacuationBook.js";
@@ -49,50 +49,48 @@
 import { SignalReceiver } from "./signalReceiver.js";
 import { UpstreamTeller } from "./upstreamTeller.js";
 
-/** What a router goes by. Times in milliseconds. */
+/** Times in milliseconds. */
 export interface DirectRouterOptions extends RelayOptions, ControllerFeedsOptions {
-    /** Addresses of controllers to begin with. */
+    /** Addresses of the controllers to contact first. */
     readonly seeds: readonly string[];
-    /** An upstream that has not been heard for so long, while controllers are heard, counts as lost. */
+    /** An upstream without a report for this long counts as lost, as long as controllers can be reached. */
     readonly upstreamSilenceMs: number;
-    /** Retries that all routers together may make for each request to a service, and beyond that in one window. */
+    /** Retries earned by each request to a service. */
     readonly retryRatio: number;
+    /** Retries to a service that all routers together may accumulate. */
     readonly retrySlack: number;
-    /** Part of a connection limit that is used; the rest is for routers that come and go. */
+    /** Fraction of a connection limit that is used; the rest is headroom for routers that start or stop. */
     readonly connectionPart: number;
-    /** How long a request waits for a grant from the controllers before other routers are asked. */
+    /** How long a request waits for a grant from the controllers before it asks other routers. */
     readonly controllerGrantMs: number;
-    /** Routers to reckon with before the controllers have said how many there are. */
+    /** Number of routers to assume until the controllers report it; also the lower bound when limits are divided. */
     readonly assumedRouters: number;
 }
 
-/** How often what belongs to upstreams that are long gone is forgotten, in milliseconds. */
-const FORGET_PERIOD_MS = 10_000;
-
-/** How often gauges are set, in milliseconds. */
+const CLEANUP_PERIOD_MS = 10_000;
 const GAUGE_PERIOD_MS = 1_000;
 
-/** One router's process, without its interface to callers. */
+/** A router process without its HTTP server. */
 export class DirectRouterDaemon extends RelayContext implements FeedListener, BundleListener {
     override readonly registry = new UpstreamRegistry();
     override readonly candidates: UpstreamCandidates;
     private readonly evacuatedZones = new EvacuatedZones();
-    private index: BundleIndex | undefined;
+    private bundleIndex: BundleIndex | undefined;
     private readonly recorder: RequestRecorder;
-    private readonly feeds: ControllerFeeds;
-    private readonly teller: UpstreamTeller;
-    private readonly signals: SignalReceiver;
-    private readonly others: OtherRouters;
+    private readonly controllerFeeds: ControllerFeeds;
+    private readonly upstreamNotifier: UpstreamTeller;
+    private readonly signalReceiver: SignalReceiver;
+    private readonly otherRouters: OtherRouters;
     private readonly retryBudgets = new Map<string, RetryBudget>();
-    private running = 0;
-    private stopping = false;
-    private forgetTimer: NodeJS.Timeout | undefined;
+    private activeRequestCount = 0;
+    private isDraining = false;
+    private cleanupTimer: NodeJS.Timeout | undefined;
     private gaugeTimer: NodeJS.Timeout | undefined;
-    private refusing = false;
+    private isRefusingRequests = false;
     private wasReady = false;
-    /** When a controller last answered, and since when they have done so without a gap. */
-    private heardAt = -Infinity;
-    private heardSince = -Infinity;
+    /** When a controller last responded, and when the current period of contact began. Monotonic clock, milliseconds. */
+    private lastControllerResponseAt = -Infinity;
+    private controllersReachableSince = -Infinity;
 
     constructor(
         override readonly options: DirectRouterOptions,
@@ -102,10 +100,10 @@
         override readonly log: Log,
         metrics: Metrics,
         private readonly decoder: BundleDecoder,
-        private readonly reporter: PrepaidReporter,
-        private readonly borrower: PrepaidBorrower,
-        holders: TokenHolders,
-        private readonly sharer: PlacementSharer,
+        private readonly prepaidReporter: PrepaidReporter,
+        private readonly prepaidBorrower: PrepaidBorrower,
+        tokenHolders: TokenHolders,
+        private readonly placementSharer: PlacementSharer,
         override readonly quarantine: RequestQuarantine,
         network: PeerNetwork,
         private readonly clock: Clock,
@@ -113,95 +111,120 @@
     ) {
         super();
         this.recorder = new RequestRecorder(log, metrics);
-        this.feeds = new ControllerFeeds(network, clock, log, this, options);
-        const rests = new UpstreamRests();
-        const cold = new RateSharing(options.address, Math.random, 0);
-        const limits = new RateSharing(options.address, Math.random, LIMIT_TRIAL_PART);
-        this.teller = new UpstreamTeller(network, log, () => this.getControllers());
-        this.signals = new SignalReceiver(this.registry, rests, heard => this.teller.tell(heard), clock, log, metrics);
-        this.candidates = new UpstreamCandidates(this.registry, this.evacuatedZones, rests, cold, limits);
-        this.others = new OtherRouters(options.address, options.assumedRouters, purse, holders, sharer, [cold, limits]);
-    }
-
-    /** Registers what controllers tell over the connections that this router opens. */
+        this.controllerFeeds = new ControllerFeeds(network, clock, log, this, options);
+        const backoffs = new UpstreamRests();
+        const coldRateSharing = new RateSharing(options.address, Math.random, 0);
+        const limitRateSharing = new RateSharing(options.address, Math.random, LIMIT_TRIAL_PART);
+        this.upstreamNotifier = new UpstreamTeller(network, log, () => this.getControllers());
+        this.signalReceiver = new SignalReceiver(
+            this.registry,
+            backoffs,
+            heard => this.upstreamNotifier.notifyControllers(heard),
+            clock,
+            log,
+            metrics,
+        );
+        this.candidates = new UpstreamCandidates(
+            this.registry,
+            this.evacuatedZones,
+            backoffs,
+            coldRateSharing,
+            limitRateSharing,
+        );
+        this.otherRouters = new OtherRouters(
+            options.address,
+            options.assumedRouters,
+            purse,
+            tokenHolders,
+            placementSharer,
+            [
+                coldRateSharing,
+                limitRateSharing,
+            ],
+        );
+    }
+
+    /** Registers handlers for notifications on the connections that this router opens. */
     addHandlers(handlers: PeerHandlers): void {
-        handlers.add(bundleNoticeMethod, notice => this.feeds.fetchBundle(notice.controller, notice.revision));
-        this.borrower.addHandlers(handlers);
-        this.sharer.addHandlers(handlers);
+        handlers.add(
+            bundleNoticeMethod,
+            notice => this.controllerFeeds.fetchBundle(notice.controller, notice.revision),
+        );
+        this.prepaidBorrower.addHandlers(handlers);
+        this.placementSharer.addHandlers(handlers);
         handlers.add(upstreamNoticeMethod, notice => this.receiveUpstreams(notice.upstreams));
         handlers.add(evacuationNoticeMethod, list => this.receiveEvacuations(list));
         this.quarantine.addHandlers(handlers);
     }
 
     start(): void {
-        this.feeds.setSeeds(this.options.seeds);
-        void this.reporter.run();
+        this.controllerFeeds.setSeeds(this.options.seeds);
+        void this.prepaidReporter.run();
         this.quarantine.start();
-        this.borrower.start();
-        this.forgetTimer = setInterval(() => this.forgetUpstreams(), FORGET_PERIOD_MS);
-        this.gaugeTimer = setInterval(() => this.signals.setGauges(), GAUGE_PERIOD_MS);
-        // Idle connections have probably been closed meanwhile; a request that may run only once would be lost on one.
+        this.prepaidBorrower.start();
+        this.cleanupTimer = setInterval(() => this.removeStaleUpstreams(), CLEANUP_PERIOD_MS);
+        this.gaugeTimer = setInterval(() => this.signalReceiver.setGauges(), GAUGE_PERIOD_MS);
+        // Upstreams have probably closed idle connections; a non-repeatable request sent on one could not be retried.
         this.loop.onTimeMissed(() => this.upstreams.forgetExcept(new Set()));
     }
 
-    /** Takes new seeds from changed settings. */
     setSeeds(seeds: readonly string[]): void {
-        this.feeds.setSeeds(seeds);
+        this.controllerFeeds.setSeeds(seeds);
     }
 
-    /** Addresses of the controllers that are followed, those that answer first. */
+    /** Returns the controllers' addresses, responsive controllers first. */
     getControllers(): string[] {
-        return this.feeds.getAddresses();
+        return this.controllerFeeds.getAddresses();
     }
 
-    /** Requests that have no final answer yet. */
+    /** Returns the number of requests without a final response. */
     getRunningCount(): number {
-        return this.running;
+        return this.activeRequestCount;
     }
 
-    /** Limits on callers that are in force; undefined before the first bundle. */
+    /** Returns the active limits on callers; undefined before the first bundle. */
     tryGetLimits() {
-        return this.index?.bundle.limits;
+        return this.bundleIndex?.bundle.limits;
     }
 
-    /** Whether this router should be sent callers. */
+    /** Whether load balancers should send requests to this router. */
     isReady(): boolean {
-        const ready = !this.stopping && this.index !== undefined && this.feeds.isConfirmed();
+        const ready = !this.isDraining && this.bundleIndex !== undefined && this.controllerFeeds.isConfirmed();
         if (ready !== this.wasReady) {
             this.wasReady = ready;
-            this.log.info("ready_changed", { ready, revision: this.index?.bundle.revision });
+            this.log.info("ready_changed", { ready, revision: this.bundleIndex?.bundle.revision });
         }
         return ready;
     }
 
-    /** Begins a planned stop: no longer ready, still serving. */
+    /** Starts a planned stop: the router is no longer ready but still accepts requests. */
     beginStop(): void {
-        this.stopping = true;
-        this.log.info("router_stopping", { running: this.running });
+        this.isDraining = true;
+        this.log.info("router_stopping", { running: this.activeRequestCount });
     }
 
-    /** From here on requests are refused as not run: there would not be the time to answer them whole. */
+    /** Refuses all further requests, because they could not complete before the process exits. */
     refuseNew(): void {
-        this.refusing = true;
+        this.isRefusingRequests = true;
     }
 
     isStopping(): boolean {
-        return this.stopping;
+        return this.isDraining;
     }
 
-    /** Ends a planned stop: gives back what is left of the grants. */
+    /** Completes a planned stop and returns unused prepaid tokens. */
     async finishStop(): Promise<void> {
-        clearInterval(this.forgetTimer);
+        clearInterval(this.cleanupTimer);
         clearInterval(this.gaugeTimer);
-        this.borrower.stop();
-        this.borrower.returnLoans();
-        this.feeds.stop();
+        this.prepaidBorrower.stop();
+        this.prepaidBorrower.returnLoans();
+        this.controllerFeeds.stop();
         this.quarantine.stop();
-        await this.reporter.stop();
+        await this.prepaidReporter.stop();
         this.upstreams.close();
     }
 
-    /** Serves one request; resolves when its final answer has been given. */
+    /** Handles one request. Resolves when the final response has been written or the caller has disconnected. */
     async handle(request: RelayRequest, sink: PassThroughSink): Promise<void> {
         const resolved = this.resolve(request);
         if ("code" in resolved) {
@@ -210,65 +233,65 @@
             return;
         }
         this.getRetryBudget(resolved.service.name).recordRequest();
-        this.running += 1;
+        this.activeRequestCount += 1;
         try {
             await new RelayRun(this, resolved, sink).run();
         }
         finally {
-            this.running -= 1;
+            this.activeRequestCount -= 1;
         }
     }
 
     private resolve(request: RelayRequest): ResolvedRequest | Refusal {
-        const { index } = this;
-        if (this.refusing) {
+        const { bundleIndex: bundleIndex } = this;
+        if (this.isRefusingRequests) {
             return createRefusal("draining", undefined, "no", this.options.retryAfterMs);
         }
-        if (index === undefined) {
+        if (bundleIndex === undefined) {
             return createRefusal("notReady", "no bundle yet", "no", this.options.startRetryAfterMs);
         }
-        const route = index.tryGetRoute(request.host, request.passed.target);
+        const route = bundleIndex.tryGetRoute(request.host, request.passed.target);
         if (route === undefined) {
             return createRefusal("routeUnknown");
         }
-        const account = request.key === undefined ? undefined : index.tryGetAccount(request.key);
-        if (!route.isPublic && account === undefined && index.hasAccounts()) {
+        const account = request.key === undefined ? undefined : bundleIndex.tryGetAccount(request.key);
+        if (!route.isPublic && account === undefined && bundleIndex.hasAccounts()) {
             return createRefusal(request.key === undefined ? "keyMissing" : "keyWrong");
         }
-        const service = index.tryGetService(pickTarget(route, Math.random()).service)!;
+        const service = bundleIndex.tryGetService(pickTarget(route, Math.random()).service)!;
         return { request, route, service, account: route.isPublic ? undefined : account };
     }
 
-    // What the requests ask for
+    // RelayContext
 
     override getLongestWaitMs(service: string): number {
-        return this.index?.getLongestWaitMs(service) ?? Infinity;
+        return this.bundleIndex?.getLongestWaitMs(service) ?? Infinity;
     }
 
     override sharePlacement(placement: Placement, request: RelayRequest): void {
-        this.sharer.share(placement, request.parts);
+        this.placementSharer.share(placement, request.parts);
     }
 
     override getRouterCount(): number {
-        return this.others.getCount();
+        return this.otherRouters.getCount();
     }
 
     override getMaxUpstreamAgeMs(): number {
         const now = this.clock.getMonotonicMs();
         const { upstreamSilenceMs } = this.options;
-        // Where no controller is heard, nothing can be heard of upstreams either: they count as they stand.
-        const isHearing = now - this.heardAt < this.getGapMs();
-        return isHearing && now - this.heardSince > upstreamSilenceMs ? upstreamSilenceMs : Infinity;
+        // Upstream reports arrive through the controllers, so without contact upstreams keep their last known state.
+        const isInContact = now - this.lastControllerResponseAt < this.getContactGapMs();
+        return isInContact && now - this.controllersReachableSince > upstreamSilenceMs ? upstreamSilenceMs : Infinity;
     }
 
-    /** Pause between answers of controllers that counts as a gap. */
-    private getGapMs(): number {
+    /** Time without a controller's response after which contact counts as lost. */
+    private getContactGapMs(): number {
         return this.options.followPeriodMs * 2;
     }
 
     override getMaxConnections(service: BundleService): number {
         const { connectionPart } = this.options;
-        return Math.max(1, Math.floor(service.maxConnections * connectionPart / this.getSharingCount()));
+        return Math.max(1, Math.floor(service.maxConnections * connectionPart / this.getSharingRouterCount()));
     }
 
     override recordReplaced(upstream: UpstreamRegistration): void {
@@ -278,11 +301,11 @@
         }
         this.upstreams.forget(upstream.address);
         this.log.info("upstream_replaced", { upstream: upstream.id, address: upstream.address });
-        this.teller.tell({ registration: gone, ageMs: 0 });
+        this.upstreamNotifier.notifyControllers({ registration: gone, ageMs: 0 });
     }
 
     override recordSignals(upstream: UpstreamRegistration, signals: UpstreamSignals, sentAt: number): void {
-        this.signals.record(upstream, signals, sentAt);
+        this.signalReceiver.record(upstream, signals, sentAt);
     }
 
     override recordRateLimitedSend(): void {
@@ -298,30 +321,30 @@
         return budget;
     }
 
-    /** This router's part of the retries that all routers together may save up. */
+    /** Computes this router's share of the retries that all routers may accumulate. */
     private computeRetrySlack(): number {
-        return Math.max(1, this.options.retrySlack / this.getSharingCount());
+        return Math.max(1, this.options.retrySlack / this.getSharingRouterCount());
     }
 
-    /** Routers that share what holds for all of them together. */
-    private getSharingCount(): number {
-        return Math.max(this.others.getCount(), this.options.assumedRouters);
+    /** Number of routers among which fleet-wide limits are divided. */
+    private getSharingRouterCount(): number {
+        return Math.max(this.otherRouters.getCount(), this.options.assumedRouters);
     }
 
     override async waitForGrant(account: string, tokens: number, rank: number, timeoutMs: number): Promise<void> {
-        const giveUp = this.clock.wait(timeoutMs);
-        if (await Promise.race([this.borrower.borrowFromHolder(account, tokens, rank), giveUp]) === true) {
+        const timeout = this.clock.wait(timeoutMs);
+        if (await Promise.race([this.prepaidBorrower.borrowFromHolder(account, tokens, rank), timeout]) === true) {
             return;
         }
-        if (this.reporter.isInContact()) {
-            await this.reporter.waitGrant(Math.min(timeoutMs, this.options.controllerGrantMs));
+        if (this.prepaidReporter.isInContact()) {
+            await this.prepaidReporter.waitGrant(Math.min(timeoutMs, this.options.controllerGrantMs));
             if (this.purse.hasEnough(account, tokens, rank, this.clock.getMonotonicMs())) {
                 return;
             }
         }
-        const isLent = await Promise.race([this.borrower.borrow(account, tokens, rank), giveUp]);
+        const isLent = await Promise.race([this.prepaidBorrower.borrow(account, tokens, rank), timeout]);
         if (isLent === false) {
-            await Promise.race([this.reporter.waitGrant(timeoutMs), giveUp]);
+            await Promise.race([this.prepaidReporter.waitGrant(timeoutMs), timeout]);
         }
     }
 
@@ -329,43 +352,43 @@
         return this.loop.arrivals.getLateMs();
     }
 
-    override recordAnswered(resolved: ResolvedRequest, story: ResponseDetails): void {
-        this.recorder.recordAnswered(resolved, story);
+    override recordAnswered(resolved: ResolvedRequest, details: ResponseDetails): void {
+        this.recorder.recordAnswered(resolved, details);
     }
 
-    override recordRefused(resolved: ResolvedRequest, refusal: Refusal, ending: RefusalDetails): void {
-        this.logRefusal(resolved.request, resolved.route.name, refusal, ending);
+    override recordRefused(resolved: ResolvedRequest, refusal: Refusal, details: RefusalDetails): void {
+        this.logRefusal(resolved.request, resolved.route.name, refusal, details);
     }
 
-    private logRefusal(request: RelayRequest, route: string, refusal: Refusal, ending: RefusalDetails): void {
+    private logRefusal(request: RelayRequest, route: string, refusal: Refusal, details: RefusalDetails): void {
         this.recorder.recordRefused(request, refusal, {
             route,
-            account: this.index?.tryGetAccount(request.key ?? "")?.name,
-            revision: this.index?.bundle.revision,
-            ...ending,
+            account: this.bundleIndex?.tryGetAccount(request.key ?? "")?.name,
+            revision: this.bundleIndex?.bundle.revision,
+            ...details,
         });
     }
 
-    // What the controllers say
+    // Messages from the controllers
 
     getBundleRevision(): number | undefined {
-        return this.index?.bundle.revision;
+        return this.bundleIndex?.bundle.revision;
     }
 
     async receiveBundle(revision: number, text: string): Promise<void> {
         const startedAt = performance.now();
         this.loop.noteWork("bundles");
         const bundle = await this.decoder.decode(text);
-        if (this.index !== undefined && bundle.revision <= this.index.bundle.revision) {
+        if (this.bundleIndex !== undefined && bundle.revision <= this.bundleIndex.bundle.revision) {
             return;
         }
-        this.index = new BundleIndex(bundle);
-        const tookMs = Math.round(performance.now() - startedAt);
-        this.log.info("bundle_in_force", { revision, routes: bundle.routes.length, took_ms: tookMs });
+        this.bundleIndex = new BundleIndex(bundle);
+        const durationMs = Math.round(performance.now() - startedAt);
+        this.log.info("bundle_in_force", { revision, routes: bundle.routes.length, took_ms: durationMs });
         const limits = bundle.accounts.filter(account => account.prepaidTokens !== undefined);
-        // Most versions leave the limits alone; a report of each router for each version would be 30 a version at the leader.
+        // Report only changed limits: a report per router and bundle would load the leader.
         if (this.purse.setLimits(limits.map(account => ({ account: account.name, tokens: account.prepaidTokens! })))) {
-            this.reporter.askReport();
+            this.prepaidReporter.askReport();
         }
     }
 
@@ -378,15 +401,15 @@
         if (answer.suspects !== undefined) {
             this.quarantine.receiveSuspects(answer.suspects);
         }
-        if (now - this.heardAt > this.getGapMs()) {
-            this.heardSince = now;
+        if (now - this.lastControllerResponseAt > this.getContactGapMs()) {
+            this.controllersReachableSince = now;
         }
-        this.heardAt = now;
-        if (this.others.record(routers, this.heardSince, this.reporter.routers, now)) {
+        this.lastControllerResponseAt = now;
+        if (this.otherRouters.record(routers, this.controllersReachableSince, this.prepaidReporter.routers, now)) {
             this.retryBudgets.forEach(budget => budget.setMost(this.computeRetrySlack()));
         }
         if (answer.hasMajority) {
-            this.feeds.setNamed(answer.controllers);
+            this.controllerFeeds.setNamed(answer.controllers);
         }
     }
 
@@ -396,18 +419,17 @@
         heard.forEach(({ id, ageMs }) => this.registry.noteHeard(id, now - ageMs));
     }
 
-    /** What was connected to an earlier life of an upstream is of no use: what is sent over it may have run or not. */
-    private dropEarlierConnections(
-        before: UpstreamRegistration | undefined,
-        now: UpstreamRegistration | undefined,
+    /** Discards connections to an earlier process of an upstream: a request sent on one may or may not run. */
+    private closeStaleConnections(
+        previous: UpstreamRegistration | undefined,
+        current: UpstreamRegistration | undefined,
     ): void {
-        if (before?.bornAt !== undefined && before.bornAt !== now?.bornAt) {
-            this.upstreams.forget(before.address);
+        if (previous?.bornAt !== undefined && previous.bornAt !== current?.bornAt) {
+            this.upstreams.forget(previous.address);
         }
     }
 
-    /** Forgets what belongs to upstreams that are long gone. */
-    private forgetUpstreams(): void {
+    private removeStaleUpstreams(): void {
         const now = this.clock.getMonotonicMs();
         this.registry.forgetOld(now);
         const known = this.registry.list(now).map(({ registration }) => registration);
@@ -425,9 +447,9 @@
         const now = this.clock.getMonotonicMs();
         for (const heard of upstreams) {
             const { registration, ageMs } = heard;
-            const before = this.registry.tryGet(registration.id);
+            const previous = this.registry.tryGet(registration.id);
             if (this.registry.record(registration, now - ageMs) === "state") {
-                this.dropEarlierConnections(before, this.registry.tryGet(registration.id));
+                this.closeStaleConnections(previous, this.registry.tryGet(registration.id));
                 this.log.info("upstream_state", {
                     upstream: registration.id,
                     service: registration.service,
@@ -437,7 +459,7 @@
                     age_ms: ageMs,
                 });
             }
-            this.signals.receive(heard);
+            this.signalReceiver.receive(heard);
         }
     }
 }
--- a/src/daemons/directRouter/upstreamTeller.ts
+++ b/src/daemons/directRouter/upstreamTeller.ts
@@ -1,4 +1,4 @@
-/** Tells the controllers what this router has found out about an upstream; they tell the other routers. */
+/** Notifies the controllers of a changed upstream; they forward the change to the other routers. */
 import type { HeardRegistration } from "../../domain/upstreamRegistry.js";
 import type { Log } from "../../ports/log.js";
 import type { PeerNetwork } from "../../ports/peer.js";
@@ -11,8 +11,8 @@
         private readonly getControllers: () => readonly string[],
     ) {}
 
-    /** All controllers are told, since some may be cut off from others. */
-    tell(heard: HeardRegistration): void {
+    /** Notifies every controller, because the controllers may be partitioned from each other. */
+    notifyControllers(heard: HeardRegistration): void {
         for (const controller of this.getControllers()) {
             this.network.connect(controller).then(
                 peer => peer.notify(upstreamNoticeMethod, { upstreams: [heard] }),
