--- a/src/daemons/directRouter/attempt.ts
+++ b/src/daemons/directRouter/attempt.ts
@@ -41,12 +41,12 @@
     /** The router cancelled the attempt by calling `stop`. */
     | { readonly type: "stopped"; };
 
-/** How much of the response the caller has received; shared by all attempts of one request. */
+/** How much of the response has been forwarded to the caller; shared by all attempts of one request. */
 export class ResponseProgress {
     isHeadSent = false;
     /** Whether another upstream may continue the response: the forwarded head declares no content length. */
     canResume = false;
-    /** Complete events that the caller has received. */
+    /** Complete events forwarded to the caller. */
     eventCount = 0;
     lastEventId: string | undefined;
     /** When the first body bytes arrived. Monotonic clock, milliseconds. */
@@ -78,7 +78,7 @@
     readonly shouldRetryServerError: () => boolean;
     /** The attempt is aborted if nothing arrives for this long; undefined for no limit. */
     readonly inactivityTimeoutMs: number | undefined;
-    /** Called with the upstream's signals if the response is known to come from that upstream. */
+    /** Called with the upstream's signals once the response is known to come from that upstream. */
     readonly onSignals: (signals: UpstreamSignals) => void;
     /** Called once, when the response body begins. */
     readonly onFirstByte: () => void;
@@ -92,7 +92,7 @@
 export class Attempt implements UpstreamListener {
     /** Complete events received in this attempt. */
     eventCount = 0;
-    /** Whether a valid response head was received. */
+    /** Whether a response head was received and accepted. */
     hasAcceptedHead = false;
     hasFirstByte = false;
     /** When the upstream last sent anything. Monotonic clock, milliseconds. */
--- a/src/daemons/directRouter/directRouterDaemon.ts
+++ b/src/daemons/directRouter/directRouterDaemon.ts
@@ -172,7 +172,7 @@
         this.controllerFeeds.setSeeds(seeds);
     }
 
-    /** Returns the controllers' addresses, responsive controllers first. */
+    /** Returns the controllers' addresses: those with a majority first, then by the most recent response. */
     getControllers(): string[] {
         return this.controllerFeeds.getAddresses();
     }
--- a/src/daemons/directRouter/knownSuspects.ts
+++ b/src/daemons/directRouter/knownSuspects.ts
@@ -10,7 +10,7 @@
     private index = -1;
     private suspects = new Map<string, KnownSuspect>();
 
-    /** Replaces the list, unless a newer one was received before. */
+    /** Replaces the list if the new one has a higher index. */
     update({ index, suspects }: SuspectList, now: number): void {
         if (index > this.index) {
             this.index = index;
--- a/src/daemons/directRouter/upstreamEndReporter.ts
+++ b/src/daemons/directRouter/upstreamEndReporter.ts
@@ -30,7 +30,7 @@
         private readonly options: UpstreamEndReporterOptions,
     ) {}
 
-    /** Sends reports until `stop` is called. Never rejects. */
+    /** Sends reports until `stop` is called. */
     async run(): Promise<void> {
         while (!this.isStopped) {
             if (this.pendingEnds.length === 0 && this.pendingCleared.size === 0) {
