--- a/src/domain/bundle.ts
+++ b/src/domain/bundle.ts
@@ -1,71 +1,70 @@
-/** A bundle: everything an operator declares for routers that reach their upstreams themselves, taken whole or not. */
+/** A bundle: the complete configuration that an operator declares for routers that connect to upstreams directly. */
 import { createRefusal, RefusalError } from "./resultCodes.js";
 
 /**
- * How often the requests of a route may run. A `stream` that may be resumed counts as repeatable, any other as
+ * Whether requests of a route may be repeated. A resumable `stream` is treated as repeatable, any other as
  * `atMostOnce`.
  */
 export type RouteKind = "stream" | "repeatable" | "atMostOnce";
 
-/** Where part of a route's requests go. */
+/** A weighted destination of a route's requests. */
 export interface RouteTarget {
     readonly service: string;
     readonly weight: number;
 }
 
-/** One route: requests of a host whose path begins with a prefix. Times in milliseconds. */
+/** A route matches requests by host and path prefix. Times are in milliseconds. */
 export interface BundleRoute {
     readonly name: string;
     readonly host: string;
-    /** Begins and ends with a slash. */
+    /** Starts and ends with a slash. */
     readonly pathPrefix: string;
     readonly kind: RouteKind;
-    /** Longest that a request may be held. */
+    /** Maximum time that a request may be held. */
     readonly timeoutMs: number;
-    /** An answer that begins within this time is in time. */
+    /** An answer is on time if it starts within this time. */
     readonly goalMs: number;
     /** 0 is the most urgent. */
     readonly rank: number;
     readonly targets: readonly RouteTarget[];
-    /** Most upstreams that one request may be sent to. */
+    /** Maximum number of upstreams that one request may be sent to. */
     readonly maxAttempts: number;
-    /** No key is needed. */
+    /** Whether requests need no key. */
     readonly isPublic: boolean;
-    /** An interrupted stream may go on at another upstream. */
+    /** Whether an interrupted stream may continue at another upstream. */
     readonly isResumable: boolean;
-    /** Longest pause within a stream with which its answer is in time. */
+    /** An answer is on time only if no pause within its stream is longer. */
     readonly pauseLimitMs?: number | undefined;
 }
 
-/** One service and what is known of its upstreams. */
+/** A service and the properties of its upstreams. */
 export interface BundleService {
     readonly name: string;
-    /** Connections that one upstream takes from all callers together. */
+    /** Maximum number of connections to one upstream from all callers together. */
     readonly maxConnections: number;
-    /** Requests a second that an upstream bears from all routers while it is cold; undefined where it bears any. */
+    /** Maximum requests per second to a cold upstream from all routers together; unlimited if undefined. */
     readonly coldPerSecond?: number | undefined;
-    /** How long an upstream stays cold after a start, in milliseconds. */
+    /** Time after a start during which an upstream is cold, in milliseconds. */
     readonly coldStartMs: number;
-    /** Set for model engines. */
+    /** Only present for model engines. */
     readonly engine?: {
-        /** Requests that it works on at once. */
+        /** Number of requests processed concurrently. */
         readonly slots: number;
-        /** Most tokens that one event of a stream holds. */
+        /** Maximum number of tokens in one stream event. */
         readonly tokensPerEvent: number;
     } | undefined;
 }
 
-/** One client account. */
 export interface BundleAccount {
     readonly name: string;
     readonly keys: readonly string[];
-    /** Goes before the route's rank. */
+    /** Takes precedence over the rank of the route. */
     readonly rank: number;
-    /** Most tokens that the account may consume; without a limit where left out. */
+    /** Maximum token consumption of the account; unlimited if undefined. */
     readonly prepaidTokens?: number | undefined;
 }
 
-/** What a caller may send, and for how long it may take or rest. Bytes, milliseconds. */
+/** Size and time limits for callers' requests, in bytes and milliseconds. */
 export interface CallerLimits {
     readonly maxHeaderBytes: number;
     readonly maxBodyBytes: number;
@@ -73,9 +72,9 @@
     readonly idleTimeoutMs: number;
 }
 
-/** What is in force of an operator's word at one revision. */
+/** The configuration declared under one revision. */
 export interface Bundle {
-    /** The operator's own; the highest one wins. */
+    /** Assigned by the operator; the highest revision takes effect. */
     readonly revision: number;
     readonly routes: readonly BundleRoute[];
     readonly services: readonly BundleService[];
@@ -83,57 +82,57 @@
     readonly limits: CallerLimits;
 }
 
-/** Throws objectInvalid where the parts of a bundle do not fit together. */
+/** Throws objectInvalid if the bundle is inconsistent. */
 export function checkBundle(bundle: Bundle): void {
     const services = new Set(bundle.services.map(service => service.name));
-    const places = new Set<string>();
+    const routeKeys = new Set<string>();
     for (const route of bundle.routes) {
         checkRoute(route, services);
-        const place = `${route.host} ${route.pathPrefix}`;
-        if (places.has(place)) {
-            throw createInvalid(`two routes share ${place}`);
+        const routeKey = `${route.host} ${route.pathPrefix}`;
+        if (routeKeys.has(routeKey)) {
+            throw createInvalidBundleError(`two routes have the same host and path prefix: ${routeKey}`);
         }
-        places.add(place);
+        routeKeys.add(routeKey);
     }
     checkKeys(bundle.accounts);
 }
 
 function checkRoute(route: BundleRoute, services: ReadonlySet<string>): void {
-    const unknown = route.targets.find(target => !services.has(target.service));
-    if (unknown !== undefined) {
-        throw createInvalid(`route ${route.name} names the unknown service ${unknown.service}`);
+    const unknownTarget = route.targets.find(target => !services.has(target.service));
+    if (unknownTarget !== undefined) {
+        throw createInvalidBundleError(`route ${route.name} refers to the unknown service ${unknownTarget.service}`);
     }
     if (route.targets.reduce((sum, target) => sum + target.weight, 0) <= 0) {
-        throw createInvalid(`the weights of route ${route.name} sum to 0`);
+        throw createInvalidBundleError(`the target weights of route ${route.name} sum to 0`);
     }
     if (route.timeoutMs <= 0) {
-        throw createInvalid(`route ${route.name} has a timeout of 0`);
+        throw createInvalidBundleError(`route ${route.name} has a timeout that is not positive`);
     }
 }
 
 function checkKeys(accounts: readonly BundleAccount[]): void {
-    const holders = new Map<string, string>();
+    const ownersByKey = new Map<string, string>();
     for (const account of accounts) {
         for (const key of account.keys) {
-            const holder = holders.get(key);
-            if (holder !== undefined && holder !== account.name) {
-                throw createInvalid(`accounts ${holder} and ${account.name} share a key`);
+            const owner = ownersByKey.get(key);
+            if (owner !== undefined && owner !== account.name) {
+                throw createInvalidBundleError(`accounts ${owner} and ${account.name} share a key`);
             }
-            holders.set(key, account.name);
+            ownersByKey.set(key, account.name);
         }
     }
 }
 
-function createInvalid(detail: string): RefusalError {
+function createInvalidBundleError(detail: string): RefusalError {
     return new RefusalError(createRefusal("objectInvalid", detail));
 }
 
-/** A bundle made ready for looking up. */
+/** Lookup tables for a bundle. */
 export class BundleIndex {
     private readonly routes = new Map<string, BundleRoute[]>();
     private readonly services = new Map<string, BundleService>();
     private readonly accountsByKey = new Map<string, BundleAccount>();
-    private readonly longestWaits = new Map<string, number>();
+    private readonly longestWaitsMs = new Map<string, number>();
 
     constructor(readonly bundle: Bundle) {
         for (const route of bundle.routes) {
@@ -141,13 +140,13 @@
         }
         this.routes.forEach(routes => routes.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length));
         bundle.services.forEach(service => this.services.set(service.name, service));
-        bundle.routes.forEach(route => this.addWaits(route));
+        bundle.routes.forEach(route => this.addLongestWaits(route));
         bundle.accounts.forEach(account => account.keys.forEach(key => this.accountsByKey.set(key, account)));
     }
 
-    /** Longest wait with which every answer of a service is in time. Milliseconds. */
+    /** Returns the maximum wait, in milliseconds, with which the answers of all routes to a service are on time. */
     getLongestWaitMs(service: string): number {
-        return this.longestWaits.get(service) ?? Infinity;
+        return this.longestWaitsMs.get(service) ?? Infinity;
     }
 
     private addRoute(route: BundleRoute): void {
@@ -161,14 +160,14 @@
         }
     }
 
-    private addWaits(route: BundleRoute): void {
+    private addLongestWaits(route: BundleRoute): void {
         const waitMs = Math.min(route.goalMs > 0 ? route.goalMs : Infinity, route.pauseLimitMs ?? Infinity);
         for (const { service } of route.targets) {
-            this.longestWaits.set(service, Math.min(waitMs, this.getLongestWaitMs(service)));
+            this.longestWaitsMs.set(service, Math.min(waitMs, this.getLongestWaitMs(service)));
         }
     }
 
-    /** The route of the host with the longest prefix of the path. `host` may carry a port. */
+    /** Returns the route of the host with the longest matching path prefix. `host` may include a port. */
     tryGetRoute(host: string, path: string): BundleRoute | undefined {
         const name = host.toLowerCase();
         const routes = this.routes.get(name) ?? this.routes.get(name.replace(/:\d+$/, ""));
@@ -188,13 +187,13 @@
     }
 }
 
-/** Picks a target of a route by weight. `draw` in [0, 1). */
-export function pickTarget(route: BundleRoute, draw: number): RouteTarget {
+/** Selects a target of a route by weight. `randomValue` is in [0, 1). */
+export function pickTarget(route: BundleRoute, randomValue: number): RouteTarget {
     const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
-    let left = draw * total;
+    let remaining = randomValue * total;
     for (const target of route.targets) {
-        left -= target.weight;
-        if (left < 0) {
+        remaining -= target.weight;
+        if (remaining < 0) {
             return target;
         }
     }
--- a/src/domain/bundleCommands.ts
+++ b/src/domain/bundleCommands.ts
@@ -1,59 +1,59 @@
-/** The commands of deployments whose operator declares one whole bundle at a time. */
+/** Replicated commands of deployments that are configured by bundles. */
 import * as z from "zod";
 
 const count = z.int().min(0);
 const account = z.string().min(1).max(256);
 
-/** Longest bundle taken, in characters: the line limit between processes, with room for escapes. */
+/** Maximum bundle length in characters. Fits the line limit between processes after escaping. */
 export const MAX_BUNDLE_LENGTH = 4 * 1024 * 1024;
 
-/** A declared bundle under the operator's own revision. The highest revision stays in force. */
+/** Declares a bundle under the operator's revision. The highest revision remains in effect. */
 export const putBundleCommand = z.strictObject({
     type: z.literal("putBundle"),
     revision: count,
-    /** As the operator sent it; read back unchanged. */
+    /** The operator's original text, returned unchanged. */
     text: z.string().max(MAX_BUNDLE_LENGTH),
-    /** Prepaid tokens of each client account that has a limit. */
+    /** Limits of the client accounts that have one. */
     prepaid: z.array(z.strictObject({ account, tokens: count })).max(600_000),
 });
 
-/** What one router has done with its grants of prepaid tokens, and what it would like. */
+/** Reports how a router has used its grants of prepaid tokens, and requests new ones. */
 export const prepaidReportCommand = z.strictObject({
     type: z.literal("reportPrepaid"),
     router: z.string().min(1).max(128),
-    /** New at each start of the router. */
+    /** Unique for each start of the router. */
     incarnation: z.string().min(1).max(64),
-    /** Rises with each report of an incarnation; an older one that comes late is ignored. */
+    /** Increases with each report of an incarnation; outdated reports are ignored. */
     sequence: z.int().min(1),
-    /** The newest report whose answer the router has; 0 before the first. */
+    /** Sequence number of the newest report whose answer the router has received; 0 before the first. */
     answered: count,
-    /** How long the router's process has run, in milliseconds. */
+    /** Uptime of the router process, in milliseconds. */
     uptimeMs: count,
-    /** The time of day at the router's box when it made the report, in milliseconds since 1970. */
+    /** Wall-clock time of the router's box when it created the report, in milliseconds since the Unix epoch. */
     wallMs: count,
-    /** Without an answer for so long, the router may commit all that it was granted. Milliseconds. */
+    /** Time without an answer after which the router may commit its whole grant, in milliseconds. */
     wholeAfterMs: count,
-    /** The router has stopped: what is left of its grants is given back. */
+    /** The router has stopped and returns the rest of its grants. */
     closing: z.boolean(),
     /**
-     * Set by the leader where the router runs anew: how long its predecessor can have lived after its last answered
-     * and after its newest report, in milliseconds. Left out where nobody can say.
+     * Set by the leader if the router has restarted: maximum time that its previous process can have run after its last
+     * answered report and after its newest report, in milliseconds. Omitted if unknown.
      */
     predecessor: z.strictObject({ sinceAnsweredMs: count, sinceNewestMs: count }).optional(),
-    /** An account that is left out stands as the newest report before said that named it, which was answered. */
+    /** An omitted account is unchanged since the newest report that included it, which was answered. */
     accounts: z.array(z.strictObject({
         account,
-        /** Tokens consumed or reserved so far by this incarnation, and those that requests wait to reserve. */
+        /** Tokens that this incarnation has consumed or reserved, or for which its requests wait. */
         committed: count,
         /**
-         * Until the next report is answered the router commits at most `committed`, `burst` and `perSecond` for each
-         * second since this one was answered, until `wholeAfterMs`; and never more than it was granted.
+         * Until the next report is answered, the router commits at most `committed` + `burst`, plus `perSecond` for
+         * each second since this report was answered, until `wholeAfterMs`. It never commits more than its grant.
          */
         burst: count,
         perSecond: count,
-        /** Most that the router lets `committed` come to until it hears more; never above what it was granted. */
+        /** Maximum value of `committed` until the router receives the next answer; never above its grant. */
         ceiling: count,
-        /** Tokens it would like to have beyond `committed`. */
+        /** Tokens requested beyond `committed`. */
         wanted: count,
     })).max(20_000),
 });
--- a/src/domain/bundleStore.ts
+++ b/src/domain/bundleStore.ts
@@ -1,41 +1,40 @@
-/** The replicated bundle: the one with the highest revision that was ever accepted. */
+/** Replicated storage of the accepted bundle with the highest revision. */
 import type { PutBundleCommand } from "./bundleCommands.js";
 
-/** A declared bundle as it is kept. */
 export interface StoredBundle {
     readonly revision: number;
-    /** As the operator sent it. */
+    /** The operator's original text. */
     readonly text: string;
 }
 
-/** What putting a bundle came to. */
+/** Outcome of storing a bundle. */
 export interface BundleResult {
     readonly type: "bundle";
-    /** Whether this bundle is the one in force now. */
+    /** Whether this bundle has taken effect. */
     readonly changed: boolean;
-    /** The revision in force. */
+    /** The active revision. */
     readonly revision: number;
 }
 
 export class BundleStore {
-    private held: StoredBundle | undefined;
+    private current: StoredBundle | undefined;
 
-    /** Takes a bundle where its revision is higher than the one held; anything else changes nothing. */
+    /** Stores a bundle if its revision is higher than the current one. */
     applyPut(command: PutBundleCommand): BundleResult {
-        if (this.held !== undefined && command.revision <= this.held.revision) {
-            return { type: "bundle", changed: false, revision: this.held.revision };
+        if (this.current !== undefined && command.revision <= this.current.revision) {
+            return { type: "bundle", changed: false, revision: this.current.revision };
         }
-        this.held = { revision: command.revision, text: command.text };
+        this.current = { revision: command.revision, text: command.text };
         return { type: "bundle", changed: true, revision: command.revision };
     }
 
-    /** The bundle in force; undefined before the first one. */
+    /** Returns the active bundle, or undefined if none was stored. */
     tryGet(): StoredBundle | undefined {
-        return this.held;
+        return this.current;
     }
 
-    /** Takes what a snapshot holds. */
+    /** Restores the state of a snapshot. */
     load(bundle: StoredBundle | undefined): void {
-        this.held = bundle;
+        this.current = bundle;
     }
 }
