--- a/src/domain/prepaidBook.ts
+++ b/src/domain/prepaidBook.ts
@@ -1,88 +1,94 @@
 /**
- * The replicated book of prepaid tokens: what each router has been granted and has committed of each client account.
+ * Replicated record of the prepaid tokens that each router has been granted and has committed, by client account.
  *
- * A router spends only what a majority has granted it for good, so a router that is cut off can refuse, never overspend.
- * A grant opens with time: between two answered reports a router commits no more than its last answered report allows.
- * So when a router has ended without a last report, what it cannot have come to spend goes back to the account.
+ * A router spends only tokens that a majority of the controllers has granted it, so a partitioned router may refuse
+ * requests but cannot overspend. Each report also limits what its router may commit until the next one is answered.
+ * When a router ends without a final report, tokens beyond that limit return to the account.
  */
 import type { PrepaidReportCommand } from "./bundleCommands.js";
 import { computeMostSpent, createReportBound, type ReportBound, type ReportTime } from "./reportBound.js";
 
-/** One router's part of one account. Tokens. */
+/** One router's share of one account, in tokens. */
 interface Grant {
     granted: number;
     committed: number;
-    /** What the router may commit at once until its next report: it follows from its demand. */
+    /** Tokens that the router may commit at once until its next report, derived from its demand. */
     burst: number;
 }
 
 type ReportedAccount = PrepaidReportCommand["accounts"][number];
 
-/** One start of a router that may still spend. */
+/** One incarnation of a router that may still spend. */
 interface Grantee {
     readonly incarnation: string;
     readonly grants: Map<string, Grant>;
-    /** The newest report that its router is known to have the answer to. */
+    /** The newest report whose answer the router is known to have received. */
     answered: ReportBound | undefined;
     newest: ReportBound | undefined;
-    /** Other incarnations that have reported and are not known to live: the report may be a late one of a dead process. */
+    /**
+     * Other incarnations of the router that have reported but have not shown that they received an answer. Such a
+     * report may be a delayed one from a process that has exited.
+     */
     readonly challengers: Set<string>;
 }
 
 interface Account {
-    /** Most that may be handed out in all. */
+    /** Maximum number of tokens that may be granted in total. */
     prepaid: number;
-    /** What routers that have ended may have spent. */
+    /** Upper bound on the tokens spent by routers that have ended. */
     closed: number;
-    /** The part of `closed` that no report of theirs has told of: lost to the account, spent or not. */
+    /** The part of `closed` that was never reported as committed. It is lost to the account, whether spent or not. */
     writtenOff: number;
-    /** Granted to routers that may still spend. */
+    /** Tokens granted to routers that may still spend. */
     open: number;
-    /** Sum of the bursts of these routers. */
+    /** Sum of the bursts of routers that may still spend. */
     burst: number;
 }
 
-/** What stands in the book for one account. Tokens. */
+/** Totals of one account, in tokens. */
 export interface PrepaidAccountState extends Readonly<Account> {
     readonly account: string;
     readonly free: number;
 }
 
-/** What a report came to for one account. */
+/** Outcome of a report for one account. */
 export interface PrepaidAnswer {
     readonly account: string;
-    /** What the router may commit in all. */
+    /** Total number of tokens that the router may commit. */
     readonly granted: number;
-    /** What no router has been granted yet. */
+    /** Tokens not granted to any router. */
     readonly free: number;
     readonly prepaid: number;
-    /** What routers that have ended may have spent without a report of it. */
+    /** Tokens that ended routers may have spent but did not report. */
     readonly writtenOff: number;
-    /** Sum of the bursts of all routers that may still spend: this one's part of it is its part of the demand. */
+    /** Sum of the bursts of all routers that may still spend. A router's share of it is its share of the demand. */
     readonly burst: number;
 }
 
-/** Answers of the book. */
+/** Outcome of applying a report. */
 export interface PrepaidResult {
     readonly type: "prepaid";
-    /** False where the report was late, or from an incarnation that has been replaced; nothing was granted then. */
+    /** False if the report was outdated or came from an incarnation that is not current; nothing was granted then. */
     readonly taken: boolean;
-    /** The incarnation takes the place of an earlier one with its next report, which shows that it has this answer. */
+    /**
+     * Whether this incarnation replaces the current one with its next report, which confirms that it received this
+     * answer.
+     */
     readonly awaitsConfirmation: boolean;
     readonly routers: number;
     readonly accounts: readonly PrepaidAnswer[];
 }
 
-/** Snapshots of earlier versions say nothing of bursts. */
-type WithoutBurst<T extends { burst: number; }> = Omit<T, "burst"> & { readonly burst?: number; };
+/** Snapshots of earlier versions have no `burst` field. */
+type OptionalBurst<T extends { burst: number; }> = Omit<T, "burst"> & { readonly burst?: number; };
 
-/** The book at one log index. */
+/** State of the book at one log index. */
 export interface PrepaidSnapshot {
-    readonly accounts: readonly (WithoutBurst<Account> & { readonly account: string; })[];
+    readonly accounts: readonly (OptionalBurst<Account> & { readonly account: string; })[];
     readonly grantees: readonly {
         readonly router: string;
         readonly incarnation: string;
-        readonly grants: readonly (WithoutBurst<Grant> & { readonly account: string; })[];
+        readonly grants: readonly (OptionalBurst<Grant> & { readonly account: string; })[];
         readonly answered: ReportBound | undefined;
         readonly newest: ReportBound | undefined;
         readonly challengers: readonly string[];
@@ -90,25 +96,25 @@
     readonly ended: readonly string[];
 }
 
-/** The reports that bound a router which runs under another incarnation now. */
+/** The reports that limit what the previous incarnation of a restarted router may have spent. */
 export interface PredecessorReports {
-    /** Undefined where the router never had an answer. */
+    /** Undefined if the router has not confirmed any answer. */
     readonly answered: ReportTime | undefined;
     readonly newest: ReportTime;
 }
 
-/** How many ended incarnations are remembered, so that a report of theirs that comes late opens nothing. */
-const MAX_ENDED = 2_000;
-/** How many incarnations of one router may wait for confirmation; the oldest give way. */
+/** Ended incarnations that are remembered so that their delayed reports are rejected. */
+const MAX_ENDED_INCARNATIONS = 2_000;
+/** Incarnations of one router that may await confirmation; the oldest are dropped first. */
 const MAX_CHALLENGERS = 20;
 
-/** Changed only by what the replicated log holds, so that every replica has the same. */
+/** State machine that changes only by replicated commands, so that all replicas stay identical. */
 export class PrepaidBook {
     private readonly accounts = new Map<string, Account>();
     private readonly grantees = new Map<string, Grantee>();
-    private readonly ended = new Set<string>();
+    private readonly endedIncarnations = new Set<string>();
 
-    /** Takes the limits of a bundle. An account that it leaves out keeps what was granted and gets no more. */
+    /** Sets the limits declared by a bundle. An account without a limit keeps its grants and receives no new ones. */
     applyLimits(limits: readonly { readonly account: string; readonly tokens: number; }[]): void {
         this.accounts.forEach(account => account.prepaid = 0);
         for (const { account, tokens } of limits) {
@@ -116,9 +122,9 @@
         }
     }
 
-    /** Takes a router's report, which stands at `index` of the log, and grants what the router may have. */
+    /** Applies the report stored at log position `index` and grants tokens to its router. */
     applyReport(report: PrepaidReportCommand, index: number): PrepaidResult {
-        const grantee = this.tryOpenGrantee(report);
+        const grantee = this.tryGetOrCreateGrantee(report);
         if (grantee === undefined) {
             const awaitsConfirmation = this.grantees.get(report.router)?.challengers.has(report.incarnation) ?? false;
             return { type: "prepaid", taken: false, awaitsConfirmation, routers: this.grantees.size, accounts: [] };
@@ -134,7 +140,7 @@
         return { type: "prepaid", taken: true, awaitsConfirmation: false, routers: this.grantees.size, accounts };
     }
 
-    /** Where the book holds open grants of an earlier start of a router: the reports that bound what it spent. */
+    /** Returns the reports that limit what an earlier incarnation of the router spent, if it still holds grants. */
     tryGetPredecessor(router: string, incarnation: string): PredecessorReports | undefined {
         const known = this.grantees.get(router);
         return known === undefined || known.incarnation === incarnation || known.newest === undefined
@@ -142,19 +148,19 @@
             : { answered: known.answered, newest: known.newest };
     }
 
-    /** Tokens of an account that no router has been granted. */
+    /** Returns the tokens of an account that are not granted to any router. */
     getFree(account: string): number {
         const entry = this.accounts.get(account);
         return entry === undefined ? 0 : Math.max(0, entry.prepaid - entry.closed - entry.open);
     }
 
-    /** The accounts of which least is free, by part of their prepaid tokens. */
+    /** Returns the accounts with the smallest free share of their prepaid tokens. */
     listScarcest(count: number): PrepaidAccountState[] {
         const all = [...this.accounts].map(([account, entry]) => ({ account, ...entry, free: this.getFree(account) }));
         return all.sort((a, b) => a.free / (a.prepaid + 1) - b.free / (b.prepaid + 1)).slice(0, count);
     }
 
-    /** Throws unless what is granted of each account adds up. Tests call it after each step. */
+    /** Throws if the totals of an account differ from the sums over its grants. Used by tests. */
     checkConservation(): void {
         for (const [name, account] of this.accounts) {
             let open = 0;
@@ -165,7 +171,7 @@
             }
             if (open !== account.open || burst !== account.burst) {
                 throw new Error(
-                    `account ${name}: ${open} granted, ${account.open} in the book; bursts ${burst}, ${account.burst}`,
+                    `account ${name}: grants sum to ${open}, recorded ${account.open}; bursts sum to ${burst}, recorded ${account.burst}`,
                 );
             }
         }
@@ -182,14 +188,14 @@
                 newest,
                 challengers: [...challengers],
             })),
-            ended: [...this.ended],
+            ended: [...this.endedIncarnations],
         };
     }
 
     loadSnapshot(snapshot: PrepaidSnapshot): void {
         this.accounts.clear();
         this.grantees.clear();
-        this.ended.clear();
+        this.endedIncarnations.clear();
         for (const { account, prepaid, closed, writtenOff, open, burst = 0 } of snapshot.accounts) {
             this.accounts.set(account, { prepaid, closed, writtenOff, open, burst });
         }
@@ -203,11 +209,11 @@
                 challengers: new Set(challengers),
             });
         }
-        snapshot.ended.forEach(incarnation => this.ended.add(incarnation));
+        snapshot.ended.forEach(incarnation => this.endedIncarnations.add(incarnation));
     }
 
-    private tryOpenGrantee(report: PrepaidReportCommand): Grantee | undefined {
-        if (this.ended.has(report.incarnation)) {
+    private tryGetOrCreateGrantee(report: PrepaidReportCommand): Grantee | undefined {
+        if (this.endedIncarnations.has(report.incarnation)) {
             return undefined;
         }
         const known = this.grantees.get(report.router);
@@ -219,23 +225,23 @@
                 return undefined;
             }
             this.closeGrantee(report.router, name => computeMostSpent(known, name, report.predecessor));
-            known.challengers.forEach(incarnation => this.addEnded(incarnation));
-            this.ended.delete(report.incarnation);
+            known.challengers.forEach(incarnation => this.addEndedIncarnation(incarnation));
+            this.endedIncarnations.delete(report.incarnation);
         }
-        const opened: Grantee = {
+        const created: Grantee = {
             incarnation: report.incarnation,
             grants: new Map(),
             answered: undefined,
             newest: undefined,
             challengers: new Set(),
         };
-        this.grantees.set(report.router, opened);
-        return opened;
+        this.grantees.set(report.router, created);
+        return created;
     }
 
     /**
-     * Whether an incarnation that reports beside the known one has had an answer, so that it lives. The first report of a
-     * process that has died may come late, after another one has taken its place.
+     * Whether a new incarnation has shown that it received an answer, which proves that it is running. Without this
+     * check, a delayed first report of an exited process could replace its successor.
      */
     private isConfirmed({ challengers }: Grantee, report: PrepaidReportCommand): boolean {
         if (challengers.has(report.incarnation) && report.answered > 0) {
@@ -255,27 +261,27 @@
         grant.committed = Math.min(grant.granted, entry.committed);
         account.burst += entry.burst - grant.burst;
         grant.burst = entry.burst;
-        // What the router has bound itself not to use goes back before anything new is granted.
-        const kept = Math.max(grant.committed, Math.min(grant.granted, closing ? 0 : entry.ceiling));
-        account.open -= grant.granted - kept;
-        grant.granted = kept;
+        // Tokens above the reported ceiling are returned before new ones are granted.
+        const retained = Math.max(grant.committed, Math.min(grant.granted, closing ? 0 : entry.ceiling));
+        account.open -= grant.granted - retained;
+        grant.granted = retained;
         if (!closing) {
-            const missing = Math.max(0, entry.committed + entry.wanted - grant.granted);
-            const given = Math.min(missing, this.getMostForOne(entry.account));
-            account.open += given;
-            grant.granted += given;
+            const shortfall = Math.max(0, entry.committed + entry.wanted - grant.granted);
+            const added = Math.min(shortfall, this.computeMaxGrant(entry.account));
+            account.open += added;
+            grant.granted += added;
         }
         const free = this.getFree(entry.account);
         const { prepaid, writtenOff, burst } = account;
         return { account: entry.account, granted: grant.granted, free, prepaid, writtenOff, burst };
     }
 
-    /** No report takes all that is free, so that the next router that asks finds something too. */
-    private getMostForOne(account: string): number {
+    /** Limits a single grant so that other routers can still obtain tokens. */
+    private computeMaxGrant(account: string): number {
         return Math.floor(this.getFree(account) / (this.grantees.size > 1 ? 2 : 1));
     }
 
-    /** Ends a start of a router; `getSpent` says what it may have spent of an account. */
+    /** Ends an incarnation. `getSpent` returns the upper bound of its spending for an account. */
     private closeGrantee(router: string, getSpent: (account: string) => number): void {
         const grantee = this.grantees.get(router)!;
         for (const [name, grant] of grantee.grants) {
@@ -287,13 +293,13 @@
             account.writtenOff += Math.max(0, closed - grant.committed);
         }
         this.grantees.delete(router);
-        this.addEnded(grantee.incarnation);
+        this.addEndedIncarnation(grantee.incarnation);
     }
 
-    private addEnded(incarnation: string): void {
-        this.ended.add(incarnation);
-        if (this.ended.size > MAX_ENDED) {
-            this.ended.delete(this.ended.values().next().value!);
+    private addEndedIncarnation(incarnation: string): void {
+        this.endedIncarnations.add(incarnation);
+        if (this.endedIncarnations.size > MAX_ENDED_INCARNATIONS) {
+            this.endedIncarnations.delete(this.endedIncarnations.values().next().value!);
         }
     }
 
