--- a/src/domain/prepaidPurse.ts
+++ b/src/domain/prepaidPurse.ts
@@ -1,31 +1,31 @@
 /**
- * A router's own side of the prepaid tokens: what it was granted, what its requests have reserved and consumed.
+ * A router's local view of prepaid tokens: its grants, and what requests have reserved and consumed.
  *
- * It never lets the two pass the grant, nor what its last answered report allows by now (see prepaidBook.ts), so it
- * needs to reach nobody to be safe. Routers lend each other tokens: to the book the lender has spent them, and the borrower
- * spends them before its own. What goes back of a loan is a loan the other way.
+ * Reservations exceed neither the grant nor the limit set by the last answered report, so no communication is needed
+ * to prevent overspending. Routers lend each other tokens: the lender reports them as spent, and the borrower uses them
+ * before its own grant. Returning tokens is a loan in the opposite direction.
  */
 import type { PrepaidReportCommand } from "./bundleCommands.js";
 import type { PrepaidAnswer } from "./prepaidBook.js";
 import type { PrepaidPurseOptions } from "./prepaidPurseOptions.js";
 import { type AccountHolding, PurseAccount, type PurseState, type ReserveOutcome } from "./purseAccount.js";
 
-/** Tokens of an account that were lent for a request and not used. */
+/** Borrowed tokens of an account that a request did not use. */
 export interface LeftOfLoan {
     readonly account: string;
     readonly tokens: number;
 }
 
-const HELD_ALONE: AccountHolding = { isHolder: true, holders: 1 };
+const SOLE_HOLDER: AccountHolding = { isHolder: true, holders: 1 };
 
-/** Times passed in (`now`) are on the monotonic clock of the router's process, in milliseconds. */
+/** All `now` parameters are milliseconds on the monotonic clock of the router process. */
 export class PrepaidPurse {
     private readonly accounts = new Map<string, PurseAccount>();
     private sequence = 0;
     private answeredSequence = 0;
-    /** Shared with the accounts. */
-    private readonly contact = { answeredAt: 0 };
-    private getHolding: (account: string) => AccountHolding = () => HELD_ALONE;
+    /** Shared with all accounts. */
+    private readonly lastAnswer = { answeredAt: 0 };
+    private getHolding: (account: string) => AccountHolding = () => SOLE_HOLDER;
 
     constructor(
         private readonly router: string,
@@ -34,15 +34,15 @@
     ) {}
 
     /**
-     * Takes the limits of the bundle in force; accounts without a limit are not held here. Answers whether any of them has
-     * changed or is new.
+     * Sets the limits of the active bundle; accounts without a limit are not tracked. Returns whether any limit was
+     * added or changed.
      */
     setLimits(limits: readonly { readonly account: string; readonly tokens: number; }[]): boolean {
         let hasChanged = false;
         for (const { account, tokens } of limits) {
             const known = this.accounts.get(account);
             if (known === undefined) {
-                const added = new PurseAccount(tokens, this.contact, this.options);
+                const added = new PurseAccount(tokens, this.lastAnswer, this.options);
                 added.setHolding(this.getHolding(account));
                 this.accounts.set(account, added);
                 hasChanged = true;
@@ -54,84 +54,84 @@
         return hasChanged;
     }
 
-    /** Takes who holds tokens of each account, also of those that come later. */
+    /** Sets which routers hold the tokens of each account, including accounts that are added later. */
     setHoldings(getHolding: (account: string) => AccountHolding): void {
         this.getHolding = getHolding;
         this.accounts.forEach((account, name) => account.setHolding(getHolding(name)));
     }
 
     /**
-     * Sets tokens aside for one run. `exhausted` where what nobody holds would not cover it either. `rank`: 0 is the
-     * most urgent; while the grant cannot be refilled, the others leave some for more urgent requests.
+     * Reserves tokens for one request. Returns `exhausted` if the ungranted tokens of the account would not suffice
+     * either. `rank` 0 is the most urgent; while the grant cannot be refilled, lower ranks leave tokens for more urgent
+     * requests.
      */
     tryReserve(account: string, tokens: number, rank: number, now: number): ReserveOutcome {
         return this.accounts.get(account)?.tryReserve(tokens, rank, now) ?? "reserved";
     }
 
-    /** Whether a reservation would be made now. */
+    /** Whether a reservation would succeed now. */
     hasEnough(account: string, tokens: number, rank: number, now: number): boolean {
         return this.accounts.get(account)?.hasEnough(tokens, rank, now) ?? true;
     }
 
-    /** What decides on reservations of an account now; undefined where it has no limit. */
+    /** Returns what determines reservations of an account, or undefined if the account has no limit. */
     tryGetState(account: string, now: number): PurseState | undefined {
         return this.accounts.get(account)?.getState(now);
     }
 
-    /** How many tokens a reservation lacks; 0 where it would be made. */
+    /** Returns how many tokens a reservation lacks, or 0 if it would succeed. */
     getShortfall(account: string, tokens: number, rank: number, now: number): number {
         return this.accounts.get(account)?.getShortfall(tokens, rank, now) ?? 0;
     }
 
     /**
-     * Gives at most `tokens` away to another router for good, none that this router would soon miss. `isHeldForAsker`: the
-     * account is held for that one too. Answers how many.
+     * Transfers up to `tokens` to another router, except tokens that this router will need soon. `isHeldForAsker`: this
+     * router also holds the account for the borrower. Returns the number of tokens transferred.
      */
     lend(account: string, tokens: number, rank: number, isHeldForAsker: boolean, now: number): number {
         return this.accounts.get(account)?.lend(tokens, rank, isHeldForAsker, now) ?? 0;
     }
 
-    /** Takes tokens that another router has given away. */
+    /** Adds tokens received from another router. */
     addBorrowed(account: string, tokens: number): void {
         this.accounts.get(account)?.addBorrowed(tokens);
     }
 
-    /** What is left of loans, of the accounts that other routers hold for this one. */
+    /** Returns the unused borrowed tokens of accounts that other routers hold for this one. */
     listLeftOfLoans(): LeftOfLoan[] {
         return [...this.accounts].flatMap(([account, entry]) => {
-            const tokens = entry.getLeftOfLoans();
+            const tokens = entry.getUnusedLoanTokens();
             return tokens > 0 ? [{ account, tokens }] : [];
         });
     }
 
-    /** Takes back what is left of a loan. */
+    /** Adds tokens that a borrower returned. */
     takeReturned(account: string, tokens: number, now: number): void {
-        this.accounts.get(account)?.takeReturned(tokens, now);
+        this.accounts.get(account)?.addReturnedLoan(tokens, now);
     }
 
-    /** Gives tokens away that were lent and not used. */
+    /** Deducts unused borrowed tokens that are returned to their holder. */
     returnLoan(account: string, tokens: number): void {
-        this.accounts.get(account)?.returnLoan(tokens);
+        this.accounts.get(account)?.deductReturnedLoan(tokens);
     }
 
-    /** Counts a request that waits for a grant in the reports; a negative count takes it out again. */
+    /** Adds a waiting request's tokens to the demand in reports; a negative number removes them. */
     addWaiting(account: string, tokens: number): void {
         this.accounts.get(account)?.addWaiting(tokens);
     }
 
-    /** Ends a reservation: `used` of its tokens were consumed. */
+    /** Ends a reservation of which `used` tokens were consumed. */
     settle(account: string, reserved: number, used: number): void {
         this.accounts.get(account)?.settle(reserved, used);
     }
 
-    /** Whether there is any account to report. */
     hasAccounts(): boolean {
         return this.accounts.size > 0;
     }
 
     /**
-     * The next report, of the accounts that it is due for. What it gives back is not used any more from here on. `wallMs`:
-     * the box's time of day.
+     * Creates the next report, with the accounts that are due. Tokens that it gives back can no longer be reserved.
+     * `wallMs`: wall-clock time of the box.
      */
     createReport(now: number, wallMs: number, closing: boolean): PrepaidReportCommand {
         this.sequence += 1;
@@ -150,13 +150,16 @@
         };
     }
 
-    /** Takes the answer to the newest report; one to an older report is ignored, since a newer one may have overtaken it. */
+    /**
+     * Applies the answer to the newest report. Answers to older reports are ignored because a newer report may already
+     * have been applied.
+     */
     applyAnswer(sequence: number, answers: readonly PrepaidAnswer[], now: number): void {
         if (sequence !== this.sequence) {
             return;
         }
         this.answeredSequence = sequence;
-        this.contact.answeredAt = now;
+        this.lastAnswer.answeredAt = now;
         for (const answer of answers) {
             this.accounts.get(answer.account)?.applyAnswer(answer);
         }
--- a/src/domain/prepaidPurseOptions.ts
+++ b/src/domain/prepaidPurseOptions.ts
@@ -1,36 +1,38 @@
-/** How a router's purse of prepaid tokens sizes what it asks for, opens and keeps back (see purseAccount.ts). */
+/** Parameters of the token amounts that a router requests, may commit and holds back. */
 export interface PrepaidPurseOptions {
-    /** Demand that a grant should cover, in milliseconds: longer than a router is usually cut off. */
+    /** Duration of demand that a grant should cover, in milliseconds; should exceed the usual length of a partition. */
     readonly horizonMs: number;
-    /** Part of what is left of an account, as far as a router knows, that all routers together hold at the most. */
+    /** Maximum share of an account's remaining tokens that all routers together hold, as far as a router can tell. */
     readonly mostHeldPart: number;
-    /** Part of the prepaid tokens that all routers together ask for before they know the demand. */
+    /** Share of the prepaid tokens that all routers together request before their demand is known. */
     readonly firstPart: number;
-    /** How fast the measured demand forgets, in milliseconds. */
+    /** Half-life of the demand average, in milliseconds. */
     readonly demandHalfLifeMs: number;
-    /** Demand that may be committed at once between two reports, in milliseconds. */
+    /** Duration of demand that may be committed at once between two reports, in milliseconds. */
     readonly burstMs: number;
-    /** How much faster than the demand a grant opens while no report is answered. */
+    /** Ratio of the rate at which a grant becomes available without an answered report to the demand. */
     readonly openingFactor: number;
-    /** Silence after which all of a grant is open, in milliseconds: by then the router is surely cut off. */
+    /** Time without an answer after which the whole grant is available, in milliseconds. */
     readonly wholeAfterMs: number;
-    /** Own demand that is kept back from other routers, in milliseconds. */
+    /** Duration of the router's own demand that it does not lend to others, in milliseconds. */
     readonly lendReserveMs: number;
-    /** Part of the more urgent ranks' demand that a rank leaves them while the grant cannot be refilled. */
+    /** Share of the demand of more urgent ranks that a rank leaves unreserved while the grant cannot be refilled. */
     readonly rankReservePart: number;
-    /** Part of the prepaid tokens that may be written off before ranks leave tokens to more urgent ones for good. */
+    /**
+     * Share of the prepaid tokens that may be written off before lower ranks always leave tokens for more urgent ones.
+     */
     readonly writtenOffPart: number;
-    /** More urgent ranks' demand that a rank leaves them from then on, in milliseconds. */
+    /** Duration of the demand of more urgent ranks that lower ranks leave unreserved from then on, in milliseconds. */
     readonly shortReserveMs: number;
-    /** A router whose report was not answered for so long counts as cut off, in milliseconds. */
+    /** Time without an answer after which a router counts as partitioned, in milliseconds. */
     readonly outOfContactMs: number;
-    /** What a grant may be above what is wanted before the rest is given back. */
+    /** Maximum ratio of the tokens kept beyond those committed to the tokens wanted; the rest is given back. */
     readonly keepFactor: number;
     /**
-     * An account of which nothing has changed is reported after so long all the same, in milliseconds: the answer tells
-     * what is left of it for all routers.
+     * Interval after which an unchanged account is reported again, in milliseconds, to learn how many tokens remain for
+     * all routers.
      */
     readonly refreshMs: number;
-    /** Part by which what is wanted of an account has to change for it to be reported sooner. */
+    /** Relative change of the tokens wanted of an account that causes an earlier report. */
     readonly wantedChangePart: number;
 }
--- a/src/domain/purseAccount.ts
+++ b/src/domain/purseAccount.ts
@@ -1,45 +1,45 @@
 /**
- * A router's part of one client account's prepaid tokens: what may be reserved now, and what the next report says.
+ * A router's share of one client account's prepaid tokens: what may be reserved, and what the next report contains.
  *
- * Requests commit no more than the grant, nor than the newest answered report allows by now, since the book counts a
- * router that has ended without a last report as having spent that much.
+ * Commitments exceed neither the grant nor the current limit of the newest answered report, because the controllers
+ * assume that a router that ended without a final report has spent that much.
  */
 import type { PrepaidReportCommand } from "./bundleCommands.js";
 import { MovingRate } from "./movingAverage.js";
 import type { PrepaidAnswer } from "./prepaidBook.js";
 import type { PrepaidPurseOptions } from "./prepaidPurseOptions.js";
 
-/** What all accounts of one router go by. */
-export interface PurseContact {
-    /** When the newest answer arrived. Monotonic clock, milliseconds. */
+/** Time of the last answer, shared by all accounts of one router. */
+export interface LastAnswer {
+    /** Milliseconds on the monotonic clock. */
     readonly answeredAt: number;
 }
 
-/** Who holds tokens of an account beyond what requests need at the moment. */
+/** Which routers hold tokens of an account in advance of requests. */
 export interface AccountHolding {
-    /** Whether this router does, so that its grant should cover its demand and that of those that borrow from it. */
+    /** Whether this router is a holder, so that its grant should cover its own demand and that of its borrowers. */
     readonly isHolder: boolean;
-    /** How many routers do; at least 1. */
+    /** Number of holders; at least 1. */
     readonly holders: number;
 }
 
-/** What a router goes by for one account, for logs. Tokens. */
+/** State of one account for logs, in tokens. */
 export interface PurseState {
     readonly granted: number;
-    /** Consumed and reserved, as far as it counts against the grant. */
+    /** Consumed and reserved tokens that count against the grant. */
     readonly charged: number;
-    /** What may be reserved now. */
+    /** Tokens that may be reserved now, regardless of rank. */
     readonly room: number;
-    /** What no router has been granted, as the newest answer said. */
+    /** Tokens not granted to any router, according to the newest answer. */
     readonly free: number;
-    /** Age of that answer, in milliseconds. */
+    /** Age of the newest answer, in milliseconds. */
     readonly answerAgeMs: number;
 }
 
-/** What came of asking for a reservation; `short`: there may be enough after the next grant. */
+/** Outcome of a reservation. `short`: the next grant may cover it. */
 export type ReserveOutcome = "reserved" | "short" | "exhausted";
 
-/** What a report allows its router to commit until the next one is answered. Tokens. */
+/** Tokens that a report permits its router to commit until the next report is answered. */
 interface Allowance {
     readonly committed: number;
     readonly burst: number;
@@ -50,56 +50,56 @@
 
 const NO_ALLOWANCE: Allowance = { committed: 0, burst: 0, perSecond: 0 };
 const MS_PER_SECOND = 1_000;
-/** Ranks beyond this one count as this one. */
-const LAST_RANK = 9;
-/** Part by which one request moves `usedPart`; 20 requests count for most of it. */
-const USED_PART_WEIGHT = 0.05;
+/** Higher ranks are treated as this one. */
+const MAX_RANK = 9;
+/** Weight of one request in the moving average `usedFraction`. */
+const USED_FRACTION_WEIGHT = 0.05;
 
-/** Counts are tokens. Times passed in (`now`) are on the monotonic clock of the router's process, in milliseconds. */
+/** Counts are tokens. All `now` parameters are milliseconds on the monotonic clock of the router process. */
 export class PurseAccount {
     private granted = 0;
     private consumed = 0;
     private reserved = 0;
-    /** What requests wait to reserve. */
+    /** Tokens of requests that wait for a reservation. */
     private waiting = 0;
-    /** What other routers have lent, spent or not. */
+    /** Tokens received from other routers, whether spent or not. */
     private borrowed = 0;
-    /** What no router has been granted, as far as the newest answer says. */
+    /** Tokens not granted to any router, according to the newest answer. */
     private free: number;
-    /** What was lost with routers that have ended, as far as the newest answer says. */
+    /** Tokens lost with ended routers, according to the newest answer. */
     private writtenOff = 0;
-    /** This router's part of the demand of all, as far as the newest answer says; undefined where there is none. */
-    private demandPart: number | undefined;
-    /** The part of what was reserved that is consumed in the end. */
-    private usedPart = 1;
-    /** Tokens reserved a second: in all, and of each rank, the most urgent first. */
+    /** This router's share of the total demand, according to the newest answer; undefined without demand. */
+    private demandShare: number | undefined;
+    /** Moving average of the fraction of reserved tokens that is consumed. */
+    private usedFraction = 1;
+    /** Tokens reserved per second: in total, and by rank from the most urgent. */
     private readonly demand: MovingRate;
     private readonly rankDemand: readonly MovingRate[];
-    /** Tokens a second that other routers ask for, for which this one holds the account. */
+    /** Tokens requested per second by routers for which this one holds the account. */
     private readonly lentDemand: MovingRate;
     private holding: AccountHolding = { isHolder: true, holders: 1 };
-    /** What the newest report says, and what the newest answered one does. */
+    /** Allowances in the newest report and in the newest answered report. */
     private reported = NO_ALLOWANCE;
     private allowance = NO_ALLOWANCE;
-    /** The newest report that named this account has no answer. */
-    private isUnanswered = true;
-    /** What that report wanted, and when it was made. Monotonic clock, milliseconds. */
+    /** Whether the newest report that included this account is unanswered. */
+    private isReportPending = true;
+    /** Tokens wanted in that report, and its time in milliseconds on the monotonic clock. */
     private reportedWanted = 0;
     private reportedAt = -Infinity;
 
-    /** `prepaid`: most that all routers may consume together. */
+    /** `prepaid`: maximum consumption of all routers together. */
     constructor(
         private prepaid: number,
-        private readonly contact: PurseContact,
+        private readonly lastAnswer: LastAnswer,
         private readonly options: PrepaidPurseOptions,
     ) {
         this.free = prepaid;
         this.demand = new MovingRate(options.demandHalfLifeMs);
         this.lentDemand = new MovingRate(options.demandHalfLifeMs);
-        this.rankDemand = Array.from({ length: LAST_RANK + 1 }, () => new MovingRate(options.demandHalfLifeMs));
+        this.rankDemand = Array.from({ length: MAX_RANK + 1 }, () => new MovingRate(options.demandHalfLifeMs));
     }
 
-    /** Takes the limit of the account. Answers whether it is another one. */
+    /** Sets the limit of the account. Returns whether it changed. */
     setPrepaid(prepaid: number): boolean {
         if (prepaid === this.prepaid) {
             return false;
@@ -109,23 +109,22 @@
         return true;
     }
 
-    /** Takes who holds the account. */
     setHolding(holding: AccountHolding): void {
         this.holding = holding;
     }
 
-    /** What decides on reservations now. */
+    /** Returns what determines reservations now. */
     getState(now: number): PurseState {
         return {
             granted: this.granted,
             charged: this.getCharged(),
-            room: this.computeRoom(now),
+            room: this.computeAvailable(now),
             free: this.free,
-            answerAgeMs: Math.round(now - this.contact.answeredAt),
+            answerAgeMs: Math.round(now - this.lastAnswer.answeredAt),
         };
     }
 
-    /** Sets tokens aside for one run. */
+    /** Reserves tokens for one request. */
     tryReserve(tokens: number, rank: number, now: number): ReserveOutcome {
         if (this.hasEnough(tokens, rank, now)) {
             this.reserved += tokens;
@@ -136,193 +135,200 @@
         return this.getCharged() + tokens > this.granted + this.free ? "exhausted" : "short";
     }
 
-    /** Whether a reservation would be made now. */
+    /** Whether a reservation would succeed now. */
     hasEnough(tokens: number, rank: number, now: number): boolean {
-        return tokens <= this.computeUsable(rank, now);
+        return tokens <= this.computeAvailableForRank(rank, now);
     }
 
-    /** How many tokens a reservation lacks; 0 where it would be made. */
+    /** Returns how many tokens a reservation lacks, or 0 if it would succeed. */
     getShortfall(tokens: number, rank: number, now: number): number {
-        return Math.min(tokens, Math.max(0, tokens - this.computeUsable(rank, now)));
+        return Math.min(tokens, Math.max(0, tokens - this.computeAvailableForRank(rank, now)));
     }
 
-    /** Ends a reservation: `used` of its tokens were consumed. */
+    /** Ends a reservation of which `used` tokens were consumed. */
     settle(reserved: number, used: number): void {
         const consumed = Math.min(used, reserved);
         this.reserved -= reserved;
         this.consumed += consumed;
-        this.usedPart += (consumed / reserved - this.usedPart) * USED_PART_WEIGHT;
+        this.usedFraction += (consumed / reserved - this.usedFraction) * USED_FRACTION_WEIGHT;
     }
 
     /**
-     * Gives at most `tokens` away to another router for good, none that this router would soon miss. `isHeldForAsker`: the
-     * account is held for that one too, which is as good as this one. Answers how many.
+     * Transfers up to `tokens` to another router, except tokens that this router will need soon. `isHeldForAsker`: this
+     * router also holds the account for the borrower, whose demand then counts as its own. Returns the number of tokens
+     * transferred.
      */
     lend(tokens: number, rank: number, isHeldForAsker: boolean, now: number): number {
         const reserveMs = isHeldForAsker ? 0 : this.options.lendReserveMs;
-        const ownNeed = this.computeDemand(now) * reserveMs / MS_PER_SECOND;
+        const ownReserve = this.computeDemand(now) * reserveMs / MS_PER_SECOND;
         if (isHeldForAsker) {
             this.lentDemand.add(tokens, now);
             this.addRankDemand(tokens, rank, now);
         }
-        const lent = Math.max(0, Math.min(tokens, Math.floor(this.computeUsable(rank, now) - ownNeed)));
+        const lent = Math.max(0, Math.min(tokens, Math.floor(this.computeAvailableForRank(rank, now) - ownReserve)));
         this.consumed += lent;
         return lent;
     }
 
     private addRankDemand(tokens: number, rank: number, now: number): void {
-        this.rankDemand[Math.min(rank, LAST_RANK)]!.add(tokens, now);
+        this.rankDemand[Math.min(rank, MAX_RANK)]!.add(tokens, now);
     }
 
-    /** Takes tokens that another router has given away. */
+    /** Adds tokens received from another router. */
     addBorrowed(tokens: number): void {
         this.borrowed += tokens;
     }
 
-    /** Tokens that were lent for single requests and not used, where nothing waits for them. */
-    getLeftOfLoans(): number {
+    /** Returns the unused borrowed tokens of a router that is not a holder, or 0 while requests wait for tokens. */
+    getUnusedLoanTokens(): number {
         return this.holding.isHolder || this.waiting > 0 ? 0 : Math.max(0, -this.getCharged());
     }
 
-    /** Gives tokens away that were lent and not used. */
-    returnLoan(tokens: number): void {
+    /** Deducts unused borrowed tokens that are returned to their holder. */
+    deductReturnedLoan(tokens: number): void {
         this.consumed += tokens;
     }
 
-    /** Takes back what is left of a loan: it was asked for, and is no demand. */
-    takeReturned(tokens: number, now: number): void {
+    /** Adds tokens that a borrower returned. They are removed from the demand because they were not needed. */
+    addReturnedLoan(tokens: number, now: number): void {
         this.borrowed += tokens;
         this.lentDemand.remove(tokens, now);
     }
 
-    /** Counts a request that waits for a grant in the reports; a negative count takes it out again. */
+    /** Adds a waiting request's tokens to the demand in reports; a negative number removes them. */
     addWaiting(tokens: number): void {
         this.waiting += tokens;
     }
 
     /**
-     * Whether the next report has to name this account: it has changed since the newest one that did, that one was not
-     * answered, or it is long ago while some of the grant is left.
+     * Whether the next report must include this account: it has changed, its last report is unanswered, or the refresh
+     * interval has passed while part of the grant remains.
      */
     isReportDue(now: number): boolean {
         const { refreshMs, wantedChangePart } = this.options;
         const wanted = this.computeWanted(this.computeDemand(now));
         const hasGrantLeft = this.granted > this.reported.committed;
-        return this.isUnanswered
+        return this.isReportPending
             || (hasGrantLeft && now - this.reportedAt >= refreshMs)
             || Math.max(0, this.getCharged()) + this.waiting !== this.reported.committed
             || Math.abs(wanted - this.reportedWanted) > this.reportedWanted * wantedChangePart;
     }
 
-    /** The account's entry in the next report. What it gives back is not used any more from here on. */
+    /** Creates the account's entry in the next report. Tokens that it gives back can no longer be reserved. */
     createReportEntry(account: string, now: number, closing: boolean): ReportEntry {
-        // To the book, borrowed tokens are spent by the lender, so what is left of them is none of this grant.
+        // The lender reports loans as spent, so unused borrowed tokens are not part of this router's grant.
         const spent = Math.max(0, this.getCharged());
         const committed = spent + (closing ? 0 : this.waiting);
         const demand = this.computeDemand(now);
         const wanted = closing ? 0 : this.computeWanted(demand);
-        const most = closing ? spent : committed + Math.ceil(wanted * this.options.keepFactor);
-        this.granted = Math.max(spent, Math.min(this.granted, most));
+        const maxGranted = closing ? spent : committed + Math.ceil(wanted * this.options.keepFactor);
+        this.granted = Math.max(spent, Math.min(this.granted, maxGranted));
         this.reported = this.createAllowance(committed, demand, wanted);
         this.reportedWanted = wanted;
         this.reportedAt = now;
-        this.isUnanswered = true;
+        this.isReportPending = true;
         return { account, ...this.reported, ceiling: this.granted, wanted };
     }
 
-    /** Takes the answer to the newest report. */
+    /** Applies the answer to the newest report. */
     applyAnswer(answer: PrepaidAnswer): void {
         this.granted = answer.granted;
         this.free = answer.free;
         this.writtenOff = answer.writtenOff;
-        this.demandPart = answer.burst > 0 ? this.reported.burst / answer.burst : undefined;
+        this.demandShare = answer.burst > 0 ? this.reported.burst / answer.burst : undefined;
         this.allowance = this.reported;
-        this.isUnanswered = false;
+        this.isReportPending = false;
     }
 
-    // What may be reserved
+    // Reservations
 
-    /** Tokens that requests of a rank may reserve now. */
-    private computeUsable(rank: number, now: number): number {
+    /** Returns the tokens that requests of a rank may reserve now. */
+    private computeAvailableForRank(rank: number, now: number): number {
         const left = this.granted - this.getCharged();
-        return Math.min(this.computeRoom(now), left - this.computeRankReserve(rank, now));
+        return Math.min(this.computeAvailable(now), left - this.computeRankReserve(rank, now));
     }
 
-    /** Tokens that may be reserved now, whatever the rank. */
-    private computeRoom(now: number): number {
-        return Math.min(this.granted, this.computeAllowed(now)) - this.getCharged();
+    /** Returns the tokens that may be reserved now, regardless of rank. */
+    private computeAvailable(now: number): number {
+        return Math.min(this.granted, this.computeCommitLimit(now)) - this.getCharged();
     }
 
-    /** What the newest answered report allows to have been committed by `now`. */
-    private computeAllowed(now: number): number {
+    /** Returns the total commitment that the newest answered report permits at `now`. */
+    private computeCommitLimit(now: number): number {
         const { committed, burst, perSecond } = this.allowance;
-        const silentMs = now - this.contact.answeredAt;
-        return this.allowance !== NO_ALLOWANCE && silentMs >= this.options.wholeAfterMs
+        const sinceAnswerMs = now - this.lastAnswer.answeredAt;
+        return this.allowance !== NO_ALLOWANCE && sinceAnswerMs >= this.options.wholeAfterMs
             ? this.granted
-            : committed + burst + Math.floor(perSecond * silentMs / MS_PER_SECOND);
+            : committed + burst + Math.floor(perSecond * sinceAnswerMs / MS_PER_SECOND);
     }
 
-    /** What counts against the grant: borrowed tokens are spent first. Negative while some of them are left. */
+    /**
+     * Returns the tokens that count against the grant. Borrowed tokens are spent first; the result is negative while
+     * some remain.
+     */
     private getCharged(): number {
         return this.consumed + this.reserved - this.borrowed;
     }
 
     /**
-     * What requests of a rank leave to more urgent ones: a part of their demand until tokens may come again. A router that
-     * borrows for each request leaves nothing: its holder has, and a loan of what the request lacks could never be used.
+     * Returns the tokens that requests of a rank leave for more urgent ones until the grant may be refilled. Only
+     * holders keep such a reserve: a borrower that reduced a loan by a reserve could never use the loan for its
+     * request.
      */
     private computeRankReserve(rank: number, now: number): number {
         if (!this.holding.isHolder) {
             return 0;
         }
-        const urgent = this.rankDemand.slice(0, rank).reduce((sum, demand) => sum + demand.getUnbiasedRate(now), 0);
-        const reserve = urgent * this.usedPart * this.getRankReserveMs(now) / MS_PER_SECOND;
-        return Math.floor(Math.max(0, reserve - this.getRefill(now)));
+        const urgentPerSecond = this.rankDemand.slice(0, rank).reduce(
+            (sum, demand) => sum + demand.getUnbiasedRate(now),
+            0,
+        );
+        const reserve = urgentPerSecond * this.usedFraction * this.computeRankReserveMs(now) / MS_PER_SECOND;
+        return Math.floor(Math.max(0, reserve - this.computeExpectedRefill(now)));
     }
 
     /**
-     * Nothing is left to others while the grant can be refilled, since what is held back from an account that runs out
-     * is refused though it would have been covered; unless it is short for what was written off.
+     * Returns the duration of urgent demand to hold back. No reserve is kept while the grant can be refilled, because
+     * it would refuse requests that the account still covers, unless too many tokens were written off.
      */
-    private getRankReserveMs(now: number): number {
+    private computeRankReserveMs(now: number): number {
         const { horizonMs, rankReservePart, writtenOffPart, shortReserveMs } = this.options;
         if (!this.isInContact(now)) {
-            return Math.max(0, horizonMs - (now - this.contact.answeredAt)) * rankReservePart;
+            return Math.max(0, horizonMs - (now - this.lastAnswer.answeredAt)) * rankReservePart;
         }
         return this.writtenOff > this.prepaid * writtenOffPart ? shortReserveMs : 0;
     }
 
-    /** This router's part of what no router has been granted, while it can be had. */
-    private getRefill(now: number): number {
-        return this.isInContact(now) ? this.getFreePart() : 0;
+    /** Returns this router's share of the free tokens, or 0 while it cannot obtain them. */
+    private computeExpectedRefill(now: number): number {
+        return this.isInContact(now) ? this.computeFreeShare() : 0;
     }
 
-    /** Whether the grant can be refilled. */
     private isInContact(now: number): boolean {
-        return now - this.contact.answeredAt < this.options.outOfContactMs;
+        return now - this.lastAnswer.answeredAt < this.options.outOfContactMs;
     }
 
-    // What a report says
+    // Reports
 
-    /** Tokens a second that are likely to be consumed of the grant. What is borrowed for single requests is none of it. */
+    /** Returns the expected consumption of the grant in tokens per second, without loans for single requests. */
     private computeDemand(now: number): number {
-        const own = this.holding.isHolder ? this.demand.getUnbiasedRate(now) * this.usedPart : 0;
+        const own = this.holding.isHolder ? this.demand.getUnbiasedRate(now) * this.usedFraction : 0;
         return own + this.lentDemand.getUnbiasedRate(now);
     }
 
-    /** Tokens that the grant should hold beyond what is committed. */
+    /** Returns the tokens that the grant should hold beyond those committed. */
     private computeWanted(demand: number): number {
         const { horizonMs, firstPart } = this.options;
         const { isHolder, holders } = this.holding;
-        const byDemand = Math.min(demand * horizonMs / MS_PER_SECOND, this.computeMostHeld(this.getFreePart()));
-        // A holder that nobody has asked yet holds something for the first that will.
-        const least = Math.min(this.prepaid * firstPart / holders, this.computeMostHeld(this.free / holders));
-        return Math.ceil(Math.max(byDemand, isHolder ? least : 0, this.waiting));
+        const byDemand = Math.min(demand * horizonMs / MS_PER_SECOND, this.computeMaxHeld(this.computeFreeShare()));
+        // A holder without known demand keeps a minimum for its first requests.
+        const minimum = Math.min(this.prepaid * firstPart / holders, this.computeMaxHeld(this.free / holders));
+        return Math.ceil(Math.max(byDemand, isHolder ? minimum : 0, this.waiting));
     }
 
-    /** A killed router may leave all it holds behind as spent, so the last tokens are not shared out in advance. */
-    private computeMostHeld(freePart: number): number {
-        return (freePart + Math.max(0, this.granted - this.getCharged())) * this.options.mostHeldPart;
+    /** Limits the tokens held in advance, because all tokens held by a killed router may count as spent. */
+    private computeMaxHeld(freeShare: number): number {
+        return (freeShare + Math.max(0, this.granted - this.getCharged())) * this.options.mostHeldPart;
     }
 
     private createAllowance(committed: number, demand: number, wanted: number): Allowance {
@@ -335,11 +341,10 @@
     }
 
     /**
-     * The part of what no router has been granted that this one may reckon with: by its part of the demand. In equal parts
-     * a router that all callers of an account come to would be left with one of 68 parts of what is free, and refuse in a
-     * cut what nobody else needs. Its gain was not measured apart: one day of a cut of 68 routers showed none.
+     * Returns this router's share of the free tokens, in proportion to its demand. Equal shares would make a router
+     * that serves all requests of an account refuse them during a partition while other routers hold unneeded tokens.
      */
-    private getFreePart(): number {
-        return this.free * (this.demandPart ?? 1 / this.holding.holders);
+    private computeFreeShare(): number {
+        return this.free * (this.demandShare ?? 1 / this.holding.holders);
     }
 }
