--- a/test/domain/tokenHolders.test.ts
+++ b/test/domain/tokenHolders.test.ts
@@ -1,4 +1,4 @@
-/** Which router holds an account for its group, and what callers get in a cut where one does. */
+/** Verifies the choice of holders, and that holders serve most requests during a partition. */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import t from "tap";
 import { PrepaidBook } from "../../src/domain/prepaidBook.js";
@@ -21,7 +21,7 @@
     }));
 }
 
-void t.test("few routers each hold for themselves", t => {
+void t.test("in a small fleet, each router is its own holder", t => {
     for (const holders of createHolders(createContacts(6)).values()) {
         t.ok(holders.isHolder("x"));
         t.equal(holders.tryFindNearest("x", () => true), undefined);
@@ -31,7 +31,7 @@
     t.end();
 });
 
-void t.test("among many, all of a group name the same, and the next one where it does not answer", t => {
+void t.test("all routers of a group select the same holder, and the same fallback if it is unreachable", t => {
     const contacts = createContacts(30);
     const all = createHolders(contacts);
     const group = contacts.filter(({ zone }) => zone === "a").map(({ address }) => address);
@@ -46,85 +46,85 @@
     t.end();
 });
 
-// A cut of all routers from the controllers
+// Partition of all routers from the controllers
 
-const ROUTERS = 68;
-const ACCOUNTS = 40;
-/** What all accounts may consume together: about a minute at the rate below. */
-const PREPAID = 40_000_000;
+const ROUTER_COUNT = 68;
+const ACCOUNT_COUNT = 40;
+/** Prepaid tokens of all accounts together: about one minute of demand. */
+const TOTAL_PREPAID = 40_000_000;
 const STEP_MS = 20;
-/** Between reports, and between returns of what is left of loans. */
-const PERIOD_MS = 200;
-const LEARNING_MS = 15_000;
-const CUT_MS = 8_000;
-/** Routers of other groups, or any others, that are asked for one request. */
-const MOST_ASKED = 6;
-const REQUESTS_PER_S = 201;
-/** Part of what a request reserves that it consumes. */
-const USED_PART = 0.7;
-/** Sizes of requests in tokens, as often as each comes. */
-const SIZES = [12_900, 1_300, 1_300, 2_450];
-
-interface Outcome {
-    /** Part of the tokens asked for in the cut that was served. */
-    readonly servedPart: number;
-    /** Routers asked for each request in the cut. */
-    readonly askedEach: number;
+/** Interval of reports and of returns of unused loans. */
+const REPORT_INTERVAL_MS = 200;
+const WARMUP_MS = 15_000;
+const PARTITION_MS = 8_000;
+/** Maximum number of other routers asked for one request, apart from the holder of the router's own group. */
+const MAX_LENDERS = 6;
+const REQUESTS_PER_SECOND = 201;
+/** Fraction of the reserved tokens that a request consumes. */
+const USED_FRACTION = 0.7;
+/** Request sizes in tokens; each is equally likely. */
+const REQUEST_TOKENS = [12_900, 1_300, 1_300, 2_450];
+
+interface PartitionOutcome {
+    /** Fraction of the tokens requested during the partition that were served. */
+    readonly servedFraction: number;
+    /** Average number of routers asked per request during the partition. */
+    readonly lendersAskedPerRequest: number;
 }
 
-/** Routers learn what is asked for while they reach the controllers, then are cut off from them. */
-class CutWorld {
+/** Routers measure demand while they reach the controllers and are then partitioned from them. */
+class PartitionSimulation {
     private readonly book = new PrepaidBook();
-    private readonly contacts = createContacts(ROUTERS);
+    private readonly contacts = createContacts(ROUTER_COUNT);
     private readonly holders = createHolders(this.contacts);
     private readonly purses = new Map<string, PrepaidPurse>();
-    private readonly names = Array.from({ length: ACCOUNTS }, (_, i) => `account-${i}`);
-    /** A few accounts are large, most are small. */
+    private readonly names = Array.from({ length: ACCOUNT_COUNT }, (_, i) => `account-${i}`);
+    /** Few accounts are large, and most are small. */
     private readonly weights = this.names.map((_name, i) => 1 / (i + 1));
     private index = 0;
     private now = 0;
-    private asked = 0;
+    private lendersAsked = 0;
 
-    constructor(private readonly random: () => number, private readonly areHeldInGroups: boolean) {
+    constructor(private readonly random: () => number, private readonly hasGroupHolders: boolean) {
         const sum = this.weights.reduce((total, weight) => total + weight, 0);
         const limits = this.names.map((account, i) => ({
             account,
-            tokens: Math.floor(PREPAID * this.weights[i]! / sum),
+            tokens: Math.floor(TOTAL_PREPAID * this.weights[i]! / sum),
         }));
         this.book.applyLimits(limits);
         for (const { address } of this.contacts) {
             const purse = new PrepaidPurse(address, `i-${address}`, { ...testPurseOptions, horizonMs: 9_500 });
             const holders = this.holders.get(address)!;
             purse.setHoldings(account =>
-                areHeldInGroups
+                hasGroupHolders
                     ? { isHolder: holders.isHolder(account), holders: holders.getHolderCount() }
-                    : { isHolder: true, holders: ROUTERS }
+                    : { isHolder: true, holders: ROUTER_COUNT }
             );
             purse.setLimits(limits);
             this.purses.set(address, purse);
         }
     }
 
-    play(): Outcome {
-        this.run(LEARNING_MS, true);
-        this.asked = 0;
-        const { wanted, served, count } = this.run(CUT_MS, false);
-        return { servedPart: served / wanted, askedEach: this.asked / count };
+    simulate(): PartitionOutcome {
+        this.run(WARMUP_MS, true);
+        this.lendersAsked = 0;
+        const { wanted, served, count } = this.run(PARTITION_MS, false);
+        return { servedFraction: served / wanted, lendersAskedPerRequest: this.lendersAsked / count };
     }
 
-    private run(forMs: number, isInContact: boolean) {
+    private run(durationMs: number, isInContact: boolean) {
         const total = { wanted: 0, served: 0, count: 0 };
-        const end = this.now + forMs;
+        const end = this.now + durationMs;
         for (; this.now < end; this.now += STEP_MS) {
-            if (this.now % PERIOD_MS === 0) {
+            if (this.now % REPORT_INTERVAL_MS === 0) {
                 this.purses.forEach((purse, router) => this.returnLoans(router, purse));
             }
-            if (isInContact && this.now % PERIOD_MS === 0) {
+            if (isInContact && this.now % REPORT_INTERVAL_MS === 0) {
                 this.purses.forEach(purse => this.report(purse));
             }
-            for (let due = REQUESTS_PER_S * STEP_MS / 1_000; due > 0; due--) {
+            for (let due = REQUESTS_PER_SECOND * STEP_MS / 1_000; due > 0; due--) {
                 if (due >= 1 || this.random() < due) {
-                    const tokens = this.pick(SIZES);
+                    const tokens = this.pick(REQUEST_TOKENS);
                     total.wanted += tokens;
                     total.count += 1;
                     total.served += this.serve(this.pick(this.contacts).address, tokens, isInContact) ? tokens : 0;
@@ -137,23 +137,23 @@
     private serve(router: string, tokens: number, isInContact: boolean): boolean {
         const account = this.pickAccount();
         const purse = this.purses.get(router)!;
-        const getMissing = (): number => purse.getShortfall(account, tokens, 0, this.now);
+        const getShortfall = (): number => purse.getShortfall(account, tokens, 0, this.now);
         const lenders = this.listLenders(router, account);
-        for (let i = 0; getMissing() > 0 && i < lenders.length && (!isInContact || this.areHeldInGroups); i++) {
-            this.asked += 1;
+        for (let i = 0; getShortfall() > 0 && i < lenders.length && (!isInContact || this.hasGroupHolders); i++) {
+            this.lendersAsked += 1;
             const lender = this.purses.get(lenders[i]!)!;
-            const isHeldForAsker = this.areHeldInGroups && i === 0;
-            purse.addBorrowed(account, lender.lend(account, getMissing(), 0, isHeldForAsker, this.now));
+            const isHeldForAsker = this.hasGroupHolders && i === 0;
+            purse.addBorrowed(account, lender.lend(account, getShortfall(), 0, isHeldForAsker, this.now));
         }
-        if (getMissing() > 0 && isInContact) {
+        if (getShortfall() > 0 && isInContact) {
             purse.addWaiting(account, tokens);
             this.report(purse);
             purse.addWaiting(account, -tokens);
         }
         const isServed = purse.tryReserve(account, tokens, 0, this.now) === "reserved";
         if (isServed) {
-            // Answers are shorter than what is set aside for them.
-            purse.settle(account, tokens, Math.floor(tokens * USED_PART));
+            // Answers consume less than was reserved.
+            purse.settle(account, tokens, Math.floor(tokens * USED_FRACTION));
         }
         return isServed;
     }
@@ -166,14 +166,17 @@
         }
     }
 
-    /** Those that are asked for tokens, in order. */
+    /** Returns the routers to ask for tokens, in order. */
     private listLenders(router: string, account: string): string[] {
-        if (!this.areHeldInGroups) {
-            return Array.from({ length: MOST_ASKED }, () => this.pick(this.contacts).address);
+        if (!this.hasGroupHolders) {
+            return Array.from({ length: MAX_LENDERS }, () => this.pick(this.contacts).address);
         }
         const holders = this.holders.get(router)!;
-        const own = holders.tryFindNearest(account, () => true);
-        return [...own === undefined ? [] : [own], ...holders.listOthers(account, () => true).slice(0, MOST_ASKED)];
+        const ownHolder = holders.tryFindNearest(account, () => true);
+        return [
+            ...ownHolder === undefined ? [] : [ownHolder],
+            ...holders.listOthers(account, () => true).slice(0, MAX_LENDERS),
+        ];
     }
 
     private report(purse: PrepaidPurse): void {
@@ -193,21 +196,19 @@
     }
 }
 
-function playCut(seed: number, areHeldInGroups: boolean): Outcome {
+function simulatePartition(seed: number, hasGroupHolders: boolean): PartitionOutcome {
     const generator = xoroshiro128plus(seed);
-    return new CutWorld(() => (generator.next() >>> 0) / 2 ** 32, areHeldInGroups).play();
+    return new PartitionSimulation(() => (generator.next() >>> 0) / 2 ** 32, hasGroupHolders).simulate();
 }
 
-void t.test("in a cut from all controllers, one holder for each group and account serves most of what is asked for", t => {
-    // Of the tokens asked for 0.98 to 0.99 are served, against 0.82 to 0.83 where each router holds for itself and asks
-    // six others at random; and 1.0 to 1.1 routers are asked for each request, against 1.2.
+void t.test("one holder for each group and account serves most requests during a partition from all controllers", t => {
     for (const seed of [1, 2, 3]) {
-        const held = playCut(seed, true);
-        const scattered = playCut(seed, false);
-        t.comment(`seed ${seed}: ${JSON.stringify({ held, scattered })}`);
-        t.ok(held.servedPart > 0.95, "nearly all is served");
-        t.ok(held.servedPart > scattered.servedPart + 0.1, "more than without holders");
-        t.ok(held.askedEach < scattered.askedEach, "and fewer are asked");
+        const grouped = simulatePartition(seed, true);
+        const ungrouped = simulatePartition(seed, false);
+        t.comment(`seed ${seed}: ${JSON.stringify({ grouped, ungrouped })}`);
+        t.ok(grouped.servedFraction > 0.95, "more than 95 % is served");
+        t.ok(grouped.servedFraction > ungrouped.servedFraction + 0.1, "more than without group holders");
+        t.ok(grouped.lendersAskedPerRequest < ungrouped.lendersAskedPerRequest, "fewer routers are asked per request");
     }
     t.end();
 });
