--- a/src/domain/routerLife.ts
+++ b/src/domain/routerLife.ts
@@ -1,92 +1,92 @@
 /**
- * How long a router's process can have lived after a report of its own, when another process runs in its place: the
- * book of prepaid tokens goes by it (see prepaidBook.ts), so the answer must never be too short.
+ * Computes an upper bound on how long a router process ran after its last reports, once another process has replaced
+ * it. The bound limits what the process can have spent, so it must never be too low.
  *
- * Where the leader that took the report still leads, its monotonic clock tells. Else nothing runs on through a loss of
- * power but boxes' clocks of the time of day, any of which may step. Each of them is a witness by itself, against its
- * own reading of before, and the longest span that one of them has seen is believed. Controllers whose time of day has
- * stepped while they ran say nothing, and neither does a clock that reads earlier than it did. So the answer is too short
- * only where the time of day of every other witness was set back while nothing ran there, or right before.
+ * If the leader that appended the report is still leading, its monotonic clock measures the time. Otherwise only the
+ * wall clocks of boxes continue across a power loss, and any of them may step. Each wall clock is compared with its own
+ * earlier reading, and the longest span is used. Controllers that detected a step of their wall clock, and clocks that
+ * went backwards, are ignored. The bound is too low only if all other wall clocks were set back while no process ran
+ * there, or immediately before.
  */
 
 import type { PrepaidReportCommand } from "./bundleCommands.js";
 import type { PredecessorReports } from "./prepaidBook.js";
 import type { ReportTime } from "./reportBound.js";
 
-/** Part by which the clocks of two boxes may run apart, a hundred times what quartz clocks do. */
-const CLOCK_MARGIN = 1.02;
-/** Added to what a monotonic clock measured, for its grain, in milliseconds. */
-const CLOCK_GRAIN_MS = 20;
-/** Added to what clocks of the time of day witnessed, which are slewed now and then, in milliseconds. */
-const WITNESS_MARGIN_MS = 100;
-/** Two clocks may have stepped unseen. */
-const LEAST_WITNESSES = 3;
-/** Controllers among them: a router's process has no disk, and what it knew of its clock is lost with it. */
-const LEAST_CONTROLLERS = 2;
+/** Allowance for the drift between the clocks of two boxes. */
+const CLOCK_DRIFT_FACTOR = 1.02;
+/** Allowance for the resolution of monotonic clocks. */
+const CLOCK_RESOLUTION_MS = 20;
+/** Allowance for slewing of wall clocks. */
+const WALL_CLOCK_MARGIN_MS = 100;
+/** Tolerates undetected steps of two clocks. */
+const MIN_WALL_CLOCKS = 3;
+/** Required among them, because a router process does not retain across restarts whether its wall clock stepped. */
+const MIN_CONTROLLER_CLOCKS = 2;
 
-/** Since when an entry was in the log, in milliseconds. */
+/** Age of a log entry, in milliseconds. */
 export interface EntryAge {
-    /** By the monotonic clock of the leader that took it, where it still leads. */
+    /** Measured by the monotonic clock of the leader that appended the entry, if it is still leading. */
     readonly measuredMs: number | undefined;
-    /** By what controllers' clocks say, each on a box of its own, most of them clocks of the time of day. */
+    /** According to the clocks of controllers on different boxes, most of them wall clocks. */
     readonly witnessedMs: readonly number[];
 }
 
 type Predecessor = NonNullable<PrepaidReportCommand["predecessor"]>;
 
-/** What a leader goes by to bound the lives of routers' earlier processes. */
+/** Bounds the lifetimes of routers' earlier processes on behalf of the leader. */
 export class RouterLives {
-    /** Of routers that run anew: their newest report of before, and how long nothing ran there after it. */
-    private readonly silences = new Map<string, { readonly index: number; readonly ms: number; }>();
+    /** Newest report before each router's restart, and the time from that report to the start of the new process. */
+    private readonly downtimes = new Map<string, { readonly index: number; readonly ms: number; }>();
 
     /**
-     * Longest time that the process before the one that makes `report` can have lived after its last reports; undefined
-     * where nobody can say. `ages`: of the entries of those reports.
+     * Returns the maximum time that the process preceding the sender of `report` can have run after its last reports,
+     * or undefined if the clocks provide no bound. `ages`: ages of the log entries of those reports.
      */
     measure(
         { answered, newest }: PredecessorReports,
         report: PrepaidReportCommand,
         ages: { readonly answered: EntryAge | undefined; readonly newest: EntryAge; },
     ): Predecessor | undefined {
-        const sinceNewestMs = this.tryMeasureSince(newest, report, ages.newest);
+        const sinceNewestMs = this.tryComputeLifetimeMs(newest, report, ages.newest);
         const sinceAnsweredMs = answered === undefined || ages.answered === undefined
             ? 0
-            : this.tryMeasureSince(answered, report, ages.answered);
-        this.silences.set(report.router, { index: newest.index, ms: getSilenceMs(newest, report) });
+            : this.tryComputeLifetimeMs(answered, report, ages.answered);
+        this.downtimes.set(report.router, { index: newest.index, ms: computeDowntimeMs(newest, report) });
         return sinceNewestMs === undefined || sinceAnsweredMs === undefined
             ? undefined
             : { sinceAnsweredMs, sinceNewestMs };
     }
 
-    private tryMeasureSince(
+    private tryComputeLifetimeMs(
         earlier: ReportTime,
         report: PrepaidReportCommand,
         { measuredMs, witnessedMs }: EntryAge,
     ): number | undefined {
         if (measuredMs !== undefined) {
-            return Math.ceil(Math.max(0, measuredMs - report.uptimeMs) * CLOCK_MARGIN + CLOCK_GRAIN_MS);
+            return Math.ceil(Math.max(0, measuredMs - report.uptimeMs) * CLOCK_DRIFT_FACTOR + CLOCK_RESOLUTION_MS);
         }
-        // Another router whose last report came no earlier was silent for no longer than this one lived, at the most.
-        const others = [...this.silences].filter(([router, { index }]) =>
+        // The downtime of a router whose last report was not earlier is another estimate of the time to bound.
+        const otherDowntimes = [...this.downtimes].filter(([router, { index }]) =>
             router !== report.router && index >= earlier.index
         );
-        return witnessedMs.length < LEAST_CONTROLLERS ? undefined : tryComputeWitnessedMs([
-            getSilenceMs(earlier, report),
+        return witnessedMs.length < MIN_CONTROLLER_CLOCKS ? undefined : tryComputeWallClockSpanMs([
+            computeDowntimeMs(earlier, report),
             ...witnessedMs.map(ms => ms - report.uptimeMs),
-            ...others.map(([, { ms }]) => ms),
+            ...otherDowntimes.map(([, { ms }]) => ms),
         ]);
     }
 }
 
-function tryComputeWitnessedMs(witnesses: readonly number[]): number | undefined {
-    const longestMs = Math.max(...witnesses);
-    // Where the longest is below 0, every clock was set back.
-    return witnesses.length < LEAST_WITNESSES || longestMs < 0
+function tryComputeWallClockSpanMs(spansMs: readonly number[]): number | undefined {
+    const longestMs = Math.max(...spansMs);
+    // A negative maximum means that every clock was set back.
+    return spansMs.length < MIN_WALL_CLOCKS || longestMs < 0
         ? undefined
-        : Math.ceil(longestMs * CLOCK_MARGIN + WITNESS_MARGIN_MS);
+        : Math.ceil(longestMs * CLOCK_DRIFT_FACTOR + WALL_CLOCK_MARGIN_MS);
 }
 
-/** From an earlier report until the start of the process that makes `report`, by the time of day at the router's box. */
-function getSilenceMs(earlier: ReportTime, report: PrepaidReportCommand): number {
+/** Returns the time from an earlier report to the start of the reporting process, by the router box's wall clock. */
+function computeDowntimeMs(earlier: ReportTime, report: PrepaidReportCommand): number {
     return report.wallMs - report.uptimeMs - earlier.wallMs;
 }
--- a/src/domain/timeOfDayWatch.ts
+++ b/src/domain/timeOfDayWatch.ts
@@ -1,69 +1,67 @@
 /**
- * Notices when a box's time of day steps, by its monotonic clock, which does not. What was read before a step cannot be
- * compared with what is read after it, and a clock that has stepped may soon step back unseen, while nothing runs.
+ * Detects steps of a box's wall clock by comparing it with the monotonic clock. Wall-clock readings from before and
+ * after a step cannot be compared, and a clock that has stepped may step back undetected while no process runs.
  *
- * Where the time of day is found ahead, the box may have been suspended instead: the monotonic clock does not count that
- * time. The two cannot be told apart by these clocks (node reads no clock that counts suspensions: its `os.uptime` is not
- * the box's on the platform, where it went on by 6.3 s in 8.0 s). So who must not
- * measure a span too short adds what the time of day has been ahead by, and who must not take old news for fresh takes it
- * for a suspension.
+ * A forward step may also be a suspension of the box, which the monotonic clock does not count; Node.js offers no clock
+ * that distinguishes the two. Callers that must not underestimate a duration add the forward steps, and callers that
+ * must not accept stale data treat them as suspensions.
  */
 
-/** A smaller difference between two looks is the correction of a clock that runs on. Milliseconds. */
-const LEAST_STEP_MS = 50;
-/** A step that has not been taken back for so long was the correction of a clock that had been wrong. Milliseconds. */
-const SETTLED_MS = 60_000;
+/** Smaller differences between two observations are attributed to clock slewing. */
+const MIN_STEP_MS = 50;
+/** A step that has persisted for this long is assumed to have corrected the clock. */
+const STEP_ACCEPTED_AFTER_MS = 60_000;
 
 export class TimeOfDayWatch {
-    /** The time of day at which the monotonic clock began, as of the last look. */
-    private originMs: number | undefined;
-    private steppedAt: number | undefined;
-    private ahead = 0;
+    /** Wall-clock time of the monotonic clock's zero point, as last observed. */
+    private monotonicOriginMs: number | undefined;
+    private lastStepAt: number | undefined;
+    private offsetMs = 0;
     private missedMs = 0;
-    private missedAt = -Infinity;
+    private lastMissedAt = -Infinity;
 
-    /** Goes on from what an earlier process saw: how far its steps had come to. Milliseconds. */
-    resume(aheadMs: number): void {
-        this.ahead = aheadMs;
+    /** Restores the accumulated steps observed by an earlier process, in milliseconds. */
+    resume(offsetMs: number): void {
+        this.offsetMs = offsetMs;
     }
 
-    /** How far the steps so far come to, in milliseconds; 0 once they have been taken back. */
+    /** Returns the sum of the steps so far in milliseconds, or 0 once they have been reversed. */
     getAheadMs(): number {
-        return this.ahead;
+        return this.offsetMs;
     }
 
     /**
-     * Time that the monotonic clock may have missed since this process began, with what has not been looked at yet: it only
-     * grows, and steps ahead of the time of day count too. Milliseconds.
+     * Returns the milliseconds that the monotonic clock may have missed since this process began, including any step
+     * since the last observation. Forward steps are counted and never subtracted.
      */
     getMissedMs(wallMs: number, monotonicMs: number): number {
-        const stepMs = wallMs - monotonicMs - (this.originMs ?? wallMs - monotonicMs);
-        return this.missedMs + (stepMs < LEAST_STEP_MS ? 0 : stepMs);
+        const stepMs = wallMs - monotonicMs - (this.monotonicOriginMs ?? wallMs - monotonicMs);
+        return this.missedMs + (stepMs < MIN_STEP_MS ? 0 : stepMs);
     }
 
-    /** When time was last missed, or a step ahead was seen, on the monotonic clock; long ago where it never was. */
+    /** Returns when the last forward step was observed, on the monotonic clock; -Infinity if none was. */
     getMissedAt(wallMs: number, monotonicMs: number): number {
-        return this.getMissedMs(wallMs, monotonicMs) > this.missedMs ? monotonicMs : this.missedAt;
+        return this.getMissedMs(wallMs, monotonicMs) > this.missedMs ? monotonicMs : this.lastMissedAt;
     }
 
-    /** Looks at both clocks; answers whether the time of day has stepped since the last look. */
+    /** Compares both clocks. Returns whether the wall clock has stepped since the last call. */
     observe(wallMs: number, monotonicMs: number): boolean {
         const originMs = wallMs - monotonicMs;
-        const stepMs = originMs - (this.originMs ?? originMs);
-        this.missedAt = this.getMissedAt(wallMs, monotonicMs);
+        const stepMs = originMs - (this.monotonicOriginMs ?? originMs);
+        this.lastMissedAt = this.getMissedAt(wallMs, monotonicMs);
         this.missedMs = this.getMissedMs(wallMs, monotonicMs);
-        this.originMs = originMs;
-        this.steppedAt ??= monotonicMs;
-        if (Math.abs(stepMs) < LEAST_STEP_MS) {
+        this.monotonicOriginMs = originMs;
+        this.lastStepAt ??= monotonicMs;
+        if (Math.abs(stepMs) < MIN_STEP_MS) {
             return false;
         }
-        this.steppedAt = monotonicMs;
-        this.ahead = Math.abs(this.ahead + stepMs) < LEAST_STEP_MS ? 0 : this.ahead + stepMs;
+        this.lastStepAt = monotonicMs;
+        this.offsetMs = Math.abs(this.offsetMs + stepMs) < MIN_STEP_MS ? 0 : this.offsetMs + stepMs;
         return true;
     }
 
-    /** Whether the time of day can be gone by: it has not stepped, or its steps were taken back or stay. */
+    /** Whether the wall clock can be trusted: it has not stepped, or its steps were reversed or have persisted. */
     isSteady(monotonicMs: number): boolean {
-        return this.ahead === 0 || monotonicMs - (this.steppedAt ?? monotonicMs) > SETTLED_MS;
+        return this.offsetMs === 0 || monotonicMs - (this.lastStepAt ?? monotonicMs) > STEP_ACCEPTED_AFTER_MS;
     }
 }
--- a/test/domain/routerLife.test.ts
+++ b/test/domain/routerLife.test.ts
@@ -1,11 +1,11 @@
-/** How long a router's earlier process can have lived: never too short, whatever one clock says. */
+/** Verifies that the bound on the lifetime of a replaced router process is never too low, even if clocks step. */
 import t from "tap";
 import type { PrepaidReportCommand } from "../../src/domain/bundleCommands.js";
 import { type EntryAge, RouterLives } from "../../src/domain/routerLife.js";
 
-const EARLIER = { index: 7, wallMs: 100_000 };
+const EARLIER_REPORT = { index: 7, wallMs: 100_000 };
 
-/** The report of a process that started 2,000 ms after the earlier report, by the router's time of day. */
+/** Creates the report of a process that started 2,000 ms after the earlier report, by the router's wall clock. */
 function createReport(part: Partial<PrepaidReportCommand> = {}): PrepaidReportCommand {
     return {
         type: "reportPrepaid",
@@ -23,48 +23,52 @@
 }
 
 function measure(age: EntryAge, report = createReport(), lives = new RouterLives()): number | undefined {
-    return lives.measure({ answered: undefined, newest: EARLIER }, report, { answered: undefined, newest: age })
+    return lives.measure({ answered: undefined, newest: EARLIER_REPORT }, report, { answered: undefined, newest: age })
         ?.sinceNewestMs;
 }
 
-void t.test("the leader that took the report measures by its own clock alone", t => {
-    t.equal(measure({ measuredMs: 1_500, witnessedMs: [] }), 1_040, "1,000 ms with the margins of clocks");
+void t.test("the leader that appended the report uses only its monotonic clock", t => {
+    t.equal(measure({ measuredMs: 1_500, witnessedMs: [] }), 1_040, "1,000 ms plus clock margins");
     t.end();
 });
 
-void t.test("else the longest span that a clock has seen counts", t => {
+void t.test("a new leader uses the longest span of all wall clocks", t => {
     t.equal(measure({ measuredMs: undefined, witnessedMs: [2_500, 2_500] }), 2_140);
     const setBack = createReport({ wallMs: 100_100 });
     t.equal(measure({ measuredMs: undefined, witnessedMs: [100, 2_500] }, setBack), 2_140, "two clocks were set back");
     t.end();
 });
 
-void t.test("two clocks are too few to say", t => {
+void t.test("two clocks are not sufficient", t => {
     t.equal(measure({ measuredMs: undefined, witnessedMs: [2_500] }), undefined);
     t.end();
 });
 
-void t.test("a router that reported later and was silent for longer is a witness too", t => {
+void t.test("the downtime of a router that reported later is used as well", t => {
     const lives = new RouterLives();
     const age = { measuredMs: undefined, witnessedMs: [500, 500] };
     const later = { index: 8, wallMs: 200_000 };
     const other = createReport({ router: "r2", wallMs: 209_500 });
     lives.measure({ answered: undefined, newest: later }, other, { answered: undefined, newest: age });
     t.equal(measure(age, createReport(), lives), 9_280);
-    const stranger = new RouterLives();
+    const otherLifetimes = new RouterLives();
     const before = { index: 6, wallMs: 200_000 };
-    stranger.measure({ answered: undefined, newest: before }, other, { answered: undefined, newest: age });
-    t.equal(measure(age, createReport(), stranger), 2_140, "one that reported earlier may have been silent for longer");
+    otherLifetimes.measure({ answered: undefined, newest: before }, other, { answered: undefined, newest: age });
+    t.equal(
+        measure(age, createReport(), otherLifetimes),
+        2_140,
+        "a router that reported earlier may have been down for longer",
+    );
     t.end();
 });
 
-void t.test("where every clock reads earlier than it did, nobody can say", t => {
+void t.test("no bound is available if every clock went backwards", t => {
     const setBack = createReport({ wallMs: 100_100 });
     t.equal(measure({ measuredMs: undefined, witnessedMs: [100, 200, 300] }, setBack), undefined);
     t.end();
 });
 
-void t.test("routers' clocks alone are too little to say", t => {
+void t.test("the clocks of routers alone are not sufficient", t => {
     const lives = new RouterLives();
     const age = { measuredMs: undefined, witnessedMs: [2_500] };
     for (const router of ["r2", "r3", "r4"]) {
--- a/test/domain/timeOfDayWatch.test.ts
+++ b/test/domain/timeOfDayWatch.test.ts
@@ -1,10 +1,12 @@
-/** Steps of a box's time of day: noticed, and not gone by until they are taken back or have proved to stay. */
+/**
+ * Verifies that wall-clock steps are detected, and that the clock is not trusted until they are reversed or persist.
+ */
 import t from "tap";
 import { TimeOfDayWatch } from "../../src/domain/timeOfDayWatch.js";
 
 const WALL_MS = 1_000_000;
 
-void t.test("a clock that runs a little fast or slow is steady", t => {
+void t.test("a clock with a small drift is steady", t => {
     const watch = new TimeOfDayWatch();
     for (let ms = 0; ms < 100_000; ms += 100) {
         t.equal(watch.observe(WALL_MS + ms * 1.01, ms), false);
@@ -13,7 +15,7 @@
     t.end();
 });
 
-void t.test("a step is noticed once, and one that takes it back", t => {
+void t.test("a step and its reversal are each detected once", t => {
     const watch = new TimeOfDayWatch();
     watch.observe(WALL_MS, 0);
     t.equal(watch.observe(WALL_MS + 9_100, 100), true);
@@ -25,7 +27,7 @@
     t.end();
 });
 
-void t.test("a step that an earlier process saw may still be taken back; after a minute it is a correction", t => {
+void t.test("a step observed by an earlier process is accepted as a correction after one minute", t => {
     const watch = new TimeOfDayWatch();
     watch.resume(9_000);
     watch.observe(WALL_MS, 0);
