--- a/test/domain/prepaid.test.ts
+++ b/test/domain/prepaid.test.ts
@@ -1,12 +1,12 @@
-/** Prepaid tokens: never past the limit whatever is lost, late, cut off or killed; and what a dead router leaves. */
+/** Verifies that prepaid accounts are never overspent, and how many tokens return to them when a router ends. */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import t, { type Test } from "tap";
 import type { PrepaidReportCommand } from "../../src/domain/bundleCommands.js";
 import { PrepaidBook, type PrepaidResult } from "../../src/domain/prepaidBook.js";
-import { PrepaidWorld } from "../tools/prepaidWorld.js";
+import { PrepaidSimulation } from "../tools/prepaidWorld.js";
 
-const SEEDS = 100;
-const STEPS = 1_000;
+const SEED_COUNT = 100;
+const STEP_COUNT = 1_000;
 
 function createReport(part: Partial<PrepaidReportCommand>, committed: number): PrepaidReportCommand {
     return {
@@ -24,11 +24,11 @@
     };
 }
 
-/** Takes the first two reports of another incarnation: it replaces the earlier one when it is known to have an answer. */
-function startAnew(book: PrepaidBook, index: number, part: Partial<PrepaidReportCommand>): PrepaidResult {
-    const challenge = createReport({ incarnation: "i2", ...part }, 0);
-    t.match(book.applyReport(challenge, index), { taken: false, awaitsConfirmation: true, accounts: [] });
-    return book.applyReport({ ...challenge, sequence: 2, answered: 1 }, index + 1);
+/** Applies the first two reports of a new incarnation, which replaces the previous one with the second report. */
+function reportRestart(book: PrepaidBook, index: number, part: Partial<PrepaidReportCommand>): PrepaidResult {
+    const firstReport = createReport({ incarnation: "i2", ...part }, 0);
+    t.match(book.applyReport(firstReport, index), { taken: false, awaitsConfirmation: true, accounts: [] });
+    return book.applyReport({ ...firstReport, sequence: 2, answered: 1 }, index + 1);
 }
 
 function createBook(): PrepaidBook {
@@ -37,14 +37,14 @@
     return book;
 }
 
-/** Plays all seeds. `holder`: the router that holds all accounts for the others, if one does. */
-function playWorlds(t: Test, holder: string | undefined, hasLateLoans = false): void {
-    for (let seed = 1; seed <= SEEDS; seed++) {
+/** Runs the simulation with every seed. `holder`: the router that holds all accounts for the others, if any. */
+function runSimulations(t: Test, holder: string | undefined, hasLateLoans = false): void {
+    for (let seed = 1; seed <= SEED_COUNT; seed++) {
         const generator = xoroshiro128plus(seed);
-        const world = new PrepaidWorld(() => (generator.next() >>> 0) / 2 ** 32, holder, hasLateLoans);
+        const simulation = new PrepaidSimulation(() => (generator.next() >>> 0) / 2 ** 32, holder, hasLateLoans);
         try {
-            for (let step = 0; step < STEPS; step++) {
-                world.step();
+            for (let step = 0; step < STEP_COUNT; step++) {
+                simulation.step();
             }
         }
         catch (error) {
@@ -54,38 +54,39 @@
     t.end();
 }
 
-void t.test("no account is overspent in any of the seeded worlds", t => playWorlds(t, undefined));
+void t.test("no account is overspent in seeded simulations", t => runSimulations(t, undefined));
 
-void t.test("none is overspent either where one router holds the accounts for all", t => playWorlds(t, "r2"));
+void t.test("no account is overspent if one router holds the accounts for all routers", t => runSimulations(t, "r2"));
 
-void t.test("... nor where loans come after their requests have been refused", t => playWorlds(t, "r2", true));
+void t.test("no account is overspent if loans arrive after their requests were refused", t =>
+    runSimulations(t, "r2", true));
 
-void t.test("a router that runs anew gives back what its predecessor cannot have spent", t => {
+void t.test("a restarted router returns tokens that its previous process cannot have spent", t => {
     const book = createBook();
     book.applyReport(createReport({}, 0), 1);
     book.applyReport(createReport({ sequence: 2, answered: 1 }, 300), 2);
     t.equal(book.getFree("a"), 10_000 - 1_300);
     const predecessor = { sinceAnsweredMs: 2_000, sinceNewestMs: 1_000 };
-    startAnew(book, 3, { predecessor });
-    // At most 300 + 100 + 50 a second for one second by its newest report.
+    reportRestart(book, 3, { predecessor });
+    // The newest report permits 300 + 100, plus 50 per second for one second.
     t.equal(book.getFree("a"), 10_000 - 450 - 1_000);
-    t.equal(book.listScarcest(1)[0]!.writtenOff, 150, "beyond what it had reported");
+    t.equal(book.listScarcest(1)[0]!.writtenOff, 150, "may have been spent but was not reported");
     book.checkConservation();
     t.end();
 });
 
-void t.test("where nobody can say how long it lived, all it was granted counts as spent", t => {
+void t.test("the whole grant counts as spent if the lifetime of the previous process is unknown", t => {
     const book = createBook();
     book.applyReport(createReport({}, 0), 1);
-    startAnew(book, 2, {});
+    reportRestart(book, 2, {});
     t.equal(book.getFree("a"), 10_000 - 1_000 - 1_000);
     t.end();
 });
 
-void t.test("what was written off is told to routers and outlives a snapshot", t => {
+void t.test("tokens written off are included in answers and snapshots", t => {
     const book = createBook();
     book.applyReport(createReport({}, 0), 1);
-    startAnew(book, 2, {});
+    reportRestart(book, 2, {});
     const copy = new PrepaidBook();
     copy.loadSnapshot(book.createSnapshot());
     const result = copy.applyReport(createReport({ incarnation: "i2", sequence: 3 }, 0), 4);
@@ -94,16 +95,16 @@
     t.end();
 });
 
-void t.test("a late report of an incarnation that has ended opens nothing", t => {
+void t.test("a delayed report of an ended incarnation is rejected", t => {
     const book = createBook();
     book.applyReport(createReport({}, 0), 1);
-    startAnew(book, 2, {});
+    reportRestart(book, 2, {});
     t.equal(book.applyReport(createReport({ sequence: 5 }, 0), 3).taken, false);
     book.checkConservation();
     t.end();
 });
 
-void t.test("a planned stop gives back the rest", t => {
+void t.test("a closing report returns unused tokens", t => {
     const book = createBook();
     book.applyReport(createReport({}, 0), 1);
     book.applyReport(createReport({ sequence: 2, answered: 1, closing: true }, 250), 2);
@@ -112,16 +113,16 @@
     t.end();
 });
 
-void t.test("the first report of a process that has died does not end the one that has taken its place", t => {
+void t.test("a delayed first report of an exited process does not replace its successor", t => {
     const book = createBook();
     book.applyReport(createReport({ incarnation: "i2" }, 0), 1);
-    t.equal(book.applyReport(createReport({ incarnation: "i1" }, 0), 2).taken, false, "late, and never answered");
+    t.equal(book.applyReport(createReport({ incarnation: "i1" }, 0), 2).taken, false, "delayed and never answered");
     t.equal(book.applyReport(createReport({ incarnation: "i2", sequence: 2, answered: 1 }, 100), 3).taken, true);
     t.equal(book.getFree("a"), 10_000 - 1_100);
     t.end();
 });
 
-void t.test("an incarnation that was answered but overtaken by a newer one stays out", t => {
+void t.test("an answered incarnation that was superseded by a newer one is rejected", t => {
     const book = createBook();
     book.applyReport(createReport({}, 0), 1);
     book.applyReport(createReport({ incarnation: "i2" }, 0), 2);
@@ -133,29 +134,29 @@
     t.end();
 });
 
-void t.test("after a long silence all of a grant may have been spent", t => {
+void t.test("the whole grant counts as spent after a long time without an answer", t => {
     const book = createBook();
     book.applyReport(createReport({}, 0), 1);
     const predecessor = { sinceAnsweredMs: 0, sinceNewestMs: 3_000 };
-    startAnew(book, 2, { predecessor });
+    reportRestart(book, 2, { predecessor });
     t.equal(book.getFree("a"), 10_000 - 1_000 - 1_000);
     t.end();
 });
 
-void t.test("an account that a report leaves out stands as the reports before said", t => {
+void t.test("an account omitted from a report is unchanged", t => {
     const book = createBook();
     book.applyReport(createReport({}, 200), 1);
     book.applyReport(createReport({ sequence: 2, answered: 1, accounts: [] }, 0), 2);
     book.applyReport(createReport({ sequence: 3, answered: 2, accounts: [] }, 0), 3);
-    t.equal(book.getFree("a"), 10_000 - 1_200, "the grant stays");
-    startAnew(book, 4, { predecessor: { sinceAnsweredMs: 1_000, sinceNewestMs: 1_000 } });
-    // 200 committed, a burst of 100 and 50 a second for one second, counted from the reports that left the account out.
+    t.equal(book.getFree("a"), 10_000 - 1_200, "the grant is unchanged");
+    reportRestart(book, 4, { predecessor: { sinceAnsweredMs: 1_000, sinceNewestMs: 1_000 } });
+    // 200 committed, a burst of 100 and 50 per second for one second since the reports that omitted the account.
     t.equal(book.getFree("a"), 10_000 - 350 - 1_000);
     book.checkConservation();
     t.end();
 });
 
-void t.test("an answer tells the demand of all routers that may still spend", t => {
+void t.test("an answer includes the total burst of all routers that may still spend", t => {
     const book = createBook();
     t.equal(book.applyReport(createReport({}, 0), 1).accounts[0]!.burst, 100);
     t.equal(book.applyReport(createReport({ router: "r2", incarnation: "j1" }, 0), 2).accounts[0]!.burst, 200);
--- a/test/domain/prepaidPurse.test.ts
+++ b/test/domain/prepaidPurse.test.ts
@@ -1,4 +1,4 @@
-/** A router's purse: what it lends, and what low ranks leave to urgent ones while tokens run short. */
+/** Verifies lending between routers and the tokens that low ranks leave for urgent requests. */
 import t from "tap";
 import type { PrepaidReportCommand } from "../../src/domain/bundleCommands.js";
 import { PrepaidPurse } from "../../src/domain/prepaidPurse.js";
@@ -7,8 +7,8 @@
 const PREPAID = 100_000;
 const MOST_URGENT = 0;
 const LEAST_URGENT = 2;
-/** Longer than a router that is in contact goes without an answer. */
-const CUT_MS = testPurseOptions.outOfContactMs + 1_000;
+/** Time without an answer after which a router counts as partitioned. */
+const OUT_OF_CONTACT_MS = testPurseOptions.outOfContactMs + 1_000;
 
 interface Grant {
     readonly granted: number;
@@ -16,39 +16,44 @@
     readonly writtenOff?: number;
 }
 
-/** A purse whose first report was answered with `grant`, all of it open at once. */
+/** Creates a purse whose first report was answered with `grant`. */
 function createPurse(grant: Grant): PrepaidPurse {
-    // All of the grant may be committed within the burst, so that only the grant and the ranks decide.
+    // Waiting for the whole grant permits its immediate commitment, so that only the grant and the ranks limit
+    // reservations.
     const purse = new PrepaidPurse("r1", "i1", testPurseOptions);
     purse.setLimits([{ account: "a", tokens: PREPAID }]);
     purse.addWaiting("a", grant.granted);
-    answer(purse, grant, 0);
+    exchangeReport(purse, grant, 0);
     purse.addWaiting("a", -grant.granted);
     return purse;
 }
 
-function answer(purse: PrepaidPurse, { granted, free, writtenOff = 0 }: Grant, now: number): PrepaidReportCommand {
+function exchangeReport(
+    purse: PrepaidPurse,
+    { granted, free, writtenOff = 0 }: Grant,
+    now: number,
+): PrepaidReportCommand {
     const report = purse.createReport(now, now, false);
     purse.applyAnswer(report.sequence, [{ account: "a", granted, free, prepaid: PREPAID, writtenOff, burst: 0 }], now);
     return report;
 }
 
-/** Reserves and consumes, so that the purse knows the urgent demand. */
+/** Reserves and consumes tokens, so that the purse measures urgent demand. */
 function consumeUrgent(purse: PrepaidPurse, tokens: number, now: number): void {
     t.equal(purse.tryReserve("a", tokens, MOST_URGENT, now), "reserved");
     purse.settle("a", tokens, tokens);
 }
 
-void t.test("a loan covers what is missing, as far as the lender can spare it", t => {
+void t.test("a loan is limited to the lender's available tokens", t => {
     const lender = createPurse({ granted: 3_000, free: 0 });
     t.equal(lender.lend("a", 2_000, MOST_URGENT, false, 1), 2_000);
-    t.equal(lender.lend("a", 2_000, MOST_URGENT, false, 1), 1_000, "the rest");
-    t.equal(lender.lend("a", 2_000, MOST_URGENT, false, 1), 0, "nothing is left");
-    t.equal(lender.tryReserve("a", 1, MOST_URGENT, 1), "exhausted", "what was lent is spent");
+    t.equal(lender.lend("a", 2_000, MOST_URGENT, false, 1), 1_000, "the remaining tokens");
+    t.equal(lender.lend("a", 2_000, MOST_URGENT, false, 1), 0, "no tokens remain");
+    t.equal(lender.tryReserve("a", 1, MOST_URGENT, 1), "exhausted", "lent tokens count as spent");
     t.end();
 });
 
-void t.test("two loans of other routers make up for a reservation that none of them covers", t => {
+void t.test("loans of several routers together cover a reservation", t => {
     const borrower = createPurse({ granted: 1_000, free: 0 });
     t.equal(borrower.getShortfall("a", 6_000, MOST_URGENT, 1), 5_000);
     borrower.addBorrowed("a", 3_000);
@@ -58,36 +63,36 @@
     t.end();
 });
 
-void t.test("low ranks leave tokens to urgent ones in a cut", t => {
+void t.test("low ranks leave tokens for urgent requests during a partition", t => {
     const purse = createPurse({ granted: 30_000, free: 0 });
     consumeUrgent(purse, 10_000, 1);
-    t.equal(purse.tryReserve("a", 16_000, LEAST_URGENT, CUT_MS), "short", "kept for the urgent ones");
-    t.equal(purse.tryReserve("a", 16_000, MOST_URGENT, CUT_MS), "reserved");
+    t.equal(purse.tryReserve("a", 16_000, LEAST_URGENT, OUT_OF_CONTACT_MS), "short", "reserved for urgent requests");
+    t.equal(purse.tryReserve("a", 16_000, MOST_URGENT, OUT_OF_CONTACT_MS), "reserved");
     t.end();
 });
 
-void t.test("they leave nothing to others while the grant can be refilled", t => {
+void t.test("low ranks leave no tokens while the grant can be refilled", t => {
     const purse = createPurse({ granted: 30_000, free: 0 });
     consumeUrgent(purse, 10_000, 1);
     t.equal(purse.tryReserve("a", 16_000, LEAST_URGENT, 2), "reserved");
     t.end();
 });
 
-void t.test("they do where the account is short for what was written off", t => {
+void t.test("low ranks leave tokens for urgent requests if too many were written off", t => {
     const purse = createPurse({ granted: 30_000, free: 0, writtenOff: PREPAID / 2 });
     consumeUrgent(purse, 10_000, 1);
-    t.equal(purse.tryReserve("a", 16_000, LEAST_URGENT, 2), "short", "kept for the urgent ones");
+    t.equal(purse.tryReserve("a", 16_000, LEAST_URGENT, 2), "short", "reserved for urgent requests");
     t.equal(purse.tryReserve("a", 16_000, MOST_URGENT, 2), "reserved");
     t.end();
 });
 
-void t.test("a router that borrows keeps nothing back of a loan that was made for the request: its holder has", t => {
+void t.test("a borrower keeps no rank reserve of a loan", t => {
     for (const grant of [{ granted: 0, free: 0 }, { granted: 0, free: 0, writtenOff: PREPAID / 2 }]) {
         const purse = createPurse(grant);
         purse.setHoldings(() => ({ isHolder: false, holders: 1 }));
         purse.addBorrowed("a", 10_000);
         consumeUrgent(purse, 10_000, 1);
-        for (const now of [2, CUT_MS]) {
+        for (const now of [2, OUT_OF_CONTACT_MS]) {
             purse.addBorrowed("a", 1_500);
             t.equal(purse.getShortfall("a", 1_500, LEAST_URGENT, now), 0);
             t.equal(purse.tryReserve("a", 1_500, LEAST_URGENT, now), "reserved");
@@ -96,7 +101,7 @@
     t.end();
 });
 
-void t.test("what decided is told for the log", t => {
+void t.test("the state for logs includes the values that determine reservations", t => {
     const purse = createPurse({ granted: 5_000, free: 700 });
     t.equal(purse.tryReserve("a", 1_000, MOST_URGENT, 10), "reserved");
     t.same(purse.tryGetState("a", 10), { granted: 5_000, charged: 1_000, room: 4_000, free: 700, answerAgeMs: 10 });
@@ -104,7 +109,7 @@
     t.end();
 });
 
-void t.test("a report leaves out accounts of which nothing has changed", t => {
+void t.test("a report omits unchanged accounts", t => {
     const purse = new PrepaidPurse("r1", "i1", testPurseOptions);
     const names = Array.from({ length: 40 }, (_, i) => `account-${i}`);
     purse.setLimits(names.map(account => ({ account, tokens: PREPAID })));
@@ -116,43 +121,47 @@
         }
         return accounts.map(({ account }) => account);
     };
-    t.same(report(0, false), names, "all at first");
-    t.same(report(200, true), names, "and again, since the first was not answered");
+    t.same(report(0, false), names, "the first report includes all accounts");
+    t.same(report(200, true), names, "repeated because the first was not answered");
     t.same(report(400, true), []);
     purse.tryReserve("account-7", 100, MOST_URGENT, 700);
     t.same(report(800, false), ["account-7"]);
-    t.same(report(1_000, true), ["account-7"], "until that is answered");
+    t.same(report(1_000, true), ["account-7"], "repeated until answered");
     t.same(report(1_200, true), []);
-    t.equal(report(200 + testPurseOptions.refreshMs, true).length, names.length - 1, "all after a while");
+    t.equal(report(200 + testPurseOptions.refreshMs, true).length, names.length - 1, "refreshed after the interval");
     t.end();
 });
 
-void t.test("a router that borrows from a holder wants no grant of its own, and a holder wants what it lends", t => {
+void t.test("a borrower requests tokens only for waiting requests, and a holder requests tokens to lend", t => {
     const purse = createPurse({ granted: 0, free: PREPAID });
     purse.setHoldings(() => ({ isHolder: false, holders: 1 }));
-    t.equal(answer(purse, { granted: 0, free: PREPAID }, 100).accounts[0]!.wanted, 0);
+    t.equal(exchangeReport(purse, { granted: 0, free: PREPAID }, 100).accounts[0]!.wanted, 0);
     purse.addWaiting("a", 700);
-    t.equal(answer(purse, { granted: 700, free: PREPAID }, 200).accounts[0]!.wanted, 700, "but for what waits");
+    t.equal(
+        exchangeReport(purse, { granted: 700, free: PREPAID }, 200).accounts[0]!.wanted,
+        700,
+        "for the waiting request",
+    );
     purse.addWaiting("a", -700);
     purse.lend("a", 5_000, MOST_URGENT, true, 300);
-    const wanted = answer(purse, { granted: 0, free: PREPAID }, 400).accounts[0]!.wanted;
+    const wanted = exchangeReport(purse, { granted: 0, free: PREPAID }, 400).accounts[0]!.wanted;
     t.ok(wanted > 5_000, `${wanted} wanted`);
     t.end();
 });
 
-void t.test("a holder lends its group also what it would keep back from others", t => {
+void t.test("a holder lends its reserve only within its group", t => {
     const lender = createPurse({ granted: 3_000, free: 0 });
     consumeUrgent(lender, 2_000, 1);
     const lent = lender.lend("a", 1_000, MOST_URGENT, false, 2);
-    t.ok(lent < 1_000, "half a second of its own demand is kept back");
+    t.ok(lent < 1_000, "part of its own demand is not lent to other groups");
     t.equal(lender.lend("a", 1_000, MOST_URGENT, true, 2), 1_000 - lent);
     t.end();
 });
 
-void t.test("what is left of a loan goes back, but not while something waits for it, and never from a holder", t => {
+void t.test("unused loans are returned, except by holders and while requests wait", t => {
     const purse = createPurse({ granted: 0, free: PREPAID });
     purse.addBorrowed("a", 5_000);
-    t.same(purse.listLeftOfLoans(), [], "a holder's are its own");
+    t.same(purse.listLeftOfLoans(), [], "a holder keeps its loans");
     purse.setHoldings(() => ({ isHolder: false, holders: 1 }));
     t.equal(purse.tryReserve("a", 5_000, MOST_URGENT, 1), "reserved");
     t.same(purse.listLeftOfLoans(), []);
@@ -171,7 +180,7 @@
     t.end();
 });
 
-void t.test("of many routers, the one that an account's callers come to may hold most of what is free", t => {
+void t.test("the router that serves all demand of an account may hold most of its free tokens", t => {
     const routers = 68;
     const free = 70_000;
     const wantedBy = (part: number): number => {
@@ -184,7 +193,7 @@
         purse.tryReserve("a", 1, MOST_URGENT, 300);
         return purse.createReport(400, 400, false).accounts[0]!.wanted;
     };
-    t.ok(wantedBy(1) > free / 2, "all of the demand is its own");
-    t.ok(wantedBy(1 / routers) < free / 6, "one of 68 parts is: as much as in equal parts, whatever was asked of it");
+    t.ok(wantedBy(1) > free / 2, "it has all of the demand");
+    t.ok(wantedBy(1 / routers) < free / 6, "its share of the demand equals 1/68");
     t.end();
 });
--- a/test/tools/prepaidWorld.ts
+++ b/test/tools/prepaidWorld.ts
@@ -1,6 +1,6 @@
 /**
- * A small world around the real prepaid book and purses: routers that reserve, settle, are cut off, killed and started
- * again, and reports that are lost, late or taken without their answer coming back.
+ * Simulates the prepaid book and purses of several routers under partitions, crashes, restarts, clock steps, and
+ * reports that are lost, delayed or applied without an answer.
  */
 import type { PrepaidReportCommand } from "../../src/domain/bundleCommands.js";
 import { PrepaidBook, type PrepaidResult } from "../../src/domain/prepaidBook.js";
@@ -11,37 +11,36 @@
 
 const ROUTERS = ["r1", "r2", "r3"];
 const ACCOUNTS = ["large", "small"];
-const LARGEST_REQUEST = 120;
-/** Part of the time that a router is cut off. */
-const CUT_PART = 0.3;
-/** Ranks of requests; the most urgent come most often, since they leave nothing unspent. */
-const RANKS = [0, 0, 0, 1, 2];
+const MAX_REQUEST_TOKENS = 120;
+/** Probability that a router is partitioned. */
+const PARTITION_PROBABILITY = 0.3;
+/** Ranks of requests. The most urgent are the most frequent, because they leave no tokens unspent. */
+const REQUEST_RANKS = [0, 0, 0, 1, 2];
 const MOST_URGENT = 0;
-/** Requests of a router that end in one step. */
-const SETTLED_AT_ONCE = 6;
-/** Part of the steps in which a router gets many requests at once, and how many. */
-const BURST_PART = 0.1;
+/** Maximum number of a router's requests that end in one step. */
+const SETTLED_PER_STEP = 6;
+/** Probability that a router receives several requests at once, and their number. */
+const BURST_PROBABILITY = 0.1;
 const BURST_COUNT = 20;
-/** One in so many returns of loans is lost. */
-const LOST_RETURN = 5;
-/** Little enough that every world comes near its limits. */
-const FIRST_PREPAID = 6_000;
-/** The boxes of the controllers, whose times of day may step like those of the routers. */
+/** Returns of loans are lost if their token count is a multiple of this. */
+const LOST_RETURN_DIVISOR = 5;
+/** Small enough that every simulation approaches its limits. */
+const INITIAL_PREPAID = 6_000;
+/** Boxes of the controllers, whose wall clocks may step like those of the routers. */
 const CONTROLLERS = ["c1", "c2", "c3"];
 const LEADER = "c1";
-/** Most that boxes' times of day are off, in milliseconds, and on how many boxes at once. */
-const MOST_STEP_MS = 5_000;
-const MOST_STEPPED = 2;
-/** Steps are further apart than any router lives on alone, in milliseconds. */
-const STEP_PAUSE_MS = 10_000;
-/** Late reports wait at most so long, in milliseconds. */
+/** Maximum wall-clock step, and maximum number of boxes whose clocks differ unless all do. */
+const MAX_CLOCK_STEP_MS = 5_000;
+const MAX_STEPPED_BOXES = 2;
+/** Longer than any router continues to run without the controllers. */
+const MIN_STEP_INTERVAL_MS = 10_000;
+/** Maximum delay of late reports and loans. */
 const MAX_DELAY_MS = 3_000;
 
-/** Part of the loans whose answer comes in time, and of those that it comes for at all where late ones do. */
-const LOANS_IN_TIME = 0.8;
-const LOANS_EVER = 0.9;
+/** Fraction of loans that arrive on time, and fraction that arrive at all if late loans are simulated. */
+const ON_TIME_LOAN_FRACTION = 0.8;
+const DELIVERED_LOAN_FRACTION = 0.9;
 
-/** How purses of tests size what they ask for. */
 export const testPurseOptions: PrepaidPurseOptions = {
     horizonMs: 10_000,
     mostHeldPart: 0.6,
@@ -66,18 +65,18 @@
 }
 
 interface LateLoan {
-    readonly borrower: RouterLife;
+    readonly borrower: RouterProcess;
     readonly account: string;
     readonly tokens: number;
     readonly dueAt: number;
 }
 
-interface RouterLife {
+interface RouterProcess {
     readonly incarnation: string;
     readonly startedAt: number;
     readonly purse: PrepaidPurse;
-    readonly open: Reservation[];
-    isCut: boolean;
+    readonly reservations: Reservation[];
+    isPartitioned: boolean;
 }
 
 interface LateReport {
@@ -85,86 +84,86 @@
     readonly report: PrepaidReportCommand;
 }
 
-export class PrepaidWorld {
-    /** What was really consumed of each account. */
+export class PrepaidSimulation {
+    /** Actual consumption by account. */
     readonly consumed = new Map<string, number>();
     readonly prepaid = new Map<string, number>();
     private readonly book = new PrepaidBook();
-    private readonly takenAt: number[] = [0];
-    /** Entries from here on were taken by the leader that leads now. */
-    private ownFrom = 0;
-    private routerLives = new RouterLives();
+    private readonly appendedAt: number[] = [0];
+    /** Index of the first entry appended by the current leader. */
+    private firstIndexOfLeader = 0;
+    private predecessorLifetimes = new RouterLives();
     /** Time that the leader's monotonic clock has missed while its box was suspended. */
-    private leaderMissedMs = 0;
-    /** What the leader notices of it, by the time of day of the box `LEADER`. */
-    private leaderWatch = new TimeOfDayWatch();
-    /** When each entry was taken, by the leader's monotonic clock and what it knew that this had missed. */
-    private readonly takenElapsed: number[] = [0];
-    private stepped: { readonly boxes: readonly string[]; readonly ms: number; } = { boxes: [], ms: 0 };
-    private steppedAt = 0;
-    /** The times of day at the controllers' boxes when each entry was taken. */
-    private readonly takenWall: (number | undefined)[][] = [[0]];
-    /** Controllers know that their clocks have stepped and not been set right: they do not go by them. */
-    private areClocksKnownOff = false;
-    private readonly lives = new Map<string, RouterLife>();
-    private late: LateReport[] = [];
+    private leaderSuspendedMs = 0;
+    /** Detects this time by the wall clock of the box `LEADER`. */
+    private leaderClock = new TimeOfDayWatch();
+    /** Time of each entry by the leader's monotonic clock, corrected for the missed time that it had detected. */
+    private readonly appendedElapsedMs: number[] = [0];
+    private clockStep: { readonly boxes: readonly string[]; readonly ms: number; } = { boxes: [], ms: 0 };
+    private clockSteppedAt = 0;
+    /** Wall-clock times of the controllers' boxes when each entry was appended. */
+    private readonly appendedWallMs: (number | undefined)[][] = [[0]];
+    /** Controllers have detected steps of their clocks that were not reversed, and ignore these clocks. */
+    private areClockStepsDetected = false;
+    private readonly routerProcesses = new Map<string, RouterProcess>();
+    private lateReports: LateReport[] = [];
     private now = 10_000;
-    private lifeCount = 0;
+    private processCount = 0;
     private lateLoans: LateLoan[] = [];
 
     /**
-     * `random` answers a number in [0, 1). `holder`: the router that holds all accounts for the others, if one does.
-     * `hasLateLoans`: half of the loans whose answer does not come in time come later, and are lost otherwise.
+     * `random` returns a number in [0, 1). `holder`: the router that holds all accounts for the others, if any.
+     * `hasLateLoans`: half of the loans that do not arrive on time arrive later, and the rest are lost.
      */
     constructor(
         private readonly random: () => number,
         private readonly holder?: string,
         private readonly hasLateLoans = false,
     ) {
-        ACCOUNTS.forEach((account, i) => this.prepaid.set(account, FIRST_PREPAID * (i + 1)));
+        ACCOUNTS.forEach((account, i) => this.prepaid.set(account, INITIAL_PREPAID * (i + 1)));
         this.applyLimits();
         ROUTERS.forEach(router => this.startRouter(router));
     }
 
     step(): void {
         this.now += Math.floor(this.random() * 60);
-        this.deliverLate();
-        this.takeLateLoans();
+        this.deliverLateReports();
+        this.deliverLateLoans();
         const router = this.pick(ROUTERS);
-        const life = this.lives.get(router)!;
+        const routerProcess = this.routerProcesses.get(router)!;
         const draw = this.random();
         if (draw < 0.4) {
-            const count = this.random() < BURST_PART ? BURST_COUNT : 1;
+            const count = this.random() < BURST_PROBABILITY ? BURST_COUNT : 1;
             for (let i = 0; i < count; i++) {
-                this.reserve(life);
+                this.reserve(routerProcess);
             }
         }
         else if (draw < 0.65) {
-            this.settleOne(life);
+            this.settleSome(routerProcess);
         }
         else if (draw < 0.9) {
-            this.report(life, false);
+            this.report(routerProcess, false);
         }
         else if (draw < 0.92) {
-            life.isCut = this.random() < CUT_PART;
+            routerProcess.isPartitioned = this.random() < PARTITION_PROBABILITY;
         }
         else if (draw < 0.926) {
             this.kill(router);
         }
         else if (draw < 0.97) {
-            this.lend(life, this.lives.get(this.pick(ROUTERS))!);
+            this.lend(routerProcess, this.routerProcesses.get(this.pick(ROUTERS))!);
         }
         else if (draw < 0.972) {
             this.topUp();
         }
         else if (draw < 0.976) {
-            this.stopWell(router);
+            this.stopGracefully(router);
         }
         else if (draw < 0.979) {
-            this.losePowerEverywhere();
+            this.losePowerOnAllBoxes();
         }
         else if (draw < 0.983) {
-            this.changeLeader();
+            this.electNewLeader();
         }
         else if (draw < 0.987) {
             this.stepClocks();
@@ -175,19 +174,25 @@
         else if (draw < 0.993) {
             this.suspendLeader();
         }
-        this.watchLeaderClock();
-        this.check();
+        this.observeLeaderClock();
+        this.checkInvariants();
     }
 
-    private check(): void {
+    private checkInvariants(): void {
         this.book.checkConservation();
         for (const [account, consumed] of this.consumed) {
-            let most = consumed;
-            for (const life of this.lives.values()) {
-                life.open.filter(open => open.account === account).forEach(open => most += open.tokens);
+            let maxConsumed = consumed;
+            for (const routerProcess of this.routerProcesses.values()) {
+                routerProcess.reservations.filter(reservation => reservation.account === account).forEach(reservation =>
+                    maxConsumed += reservation.tokens
+                );
             }
-            if (most > this.prepaid.get(account)!) {
-                throw new Error(`${account}: ${most} of ${this.prepaid.get(account)} at ${this.now}`);
+            if (maxConsumed > this.prepaid.get(account)!) {
+                throw new Error(
+                    `account ${account} overspent: ${maxConsumed} of ${
+                        this.prepaid.get(account)
+                    } tokens at ${this.now} ms`,
+                );
             }
         }
     }
@@ -195,54 +200,60 @@
     private applyLimits(): void {
         const limits = [...this.prepaid].map(([account, tokens]) => ({ account, tokens }));
         this.book.applyLimits(limits);
-        this.lives.forEach(life => life.purse.setLimits(limits));
+        this.routerProcesses.forEach(routerProcess => routerProcess.purse.setLimits(limits));
     }
 
     private startRouter(router: string): void {
-        this.lifeCount += 1;
-        const incarnation = `i${this.lifeCount}`;
+        this.processCount += 1;
+        const incarnation = `i${this.processCount}`;
         const purse = new PrepaidPurse(router, incarnation, testPurseOptions);
         const holders = this.holder === undefined ? ROUTERS.length : 1;
         purse.setHoldings(() => ({ isHolder: this.isHolder(router), holders }));
-        this.lives.set(router, { incarnation, startedAt: this.now, purse, open: [], isCut: false });
+        this.routerProcesses.set(router, {
+            incarnation,
+            startedAt: this.now,
+            purse,
+            reservations: [],
+            isPartitioned: false,
+        });
         this.applyLimits();
     }
 
-    private reserve(life: RouterLife): void {
+    private reserve(routerProcess: RouterProcess): void {
         const account = this.pick(ACCOUNTS);
-        const tokens = 1 + Math.floor(this.random() * LARGEST_REQUEST);
-        const rank = this.pick(RANKS);
+        const tokens = 1 + Math.floor(this.random() * MAX_REQUEST_TOKENS);
+        const rank = this.pick(REQUEST_RANKS);
         const tryReserve = (): boolean => {
-            const outcome = life.purse.tryReserve(account, tokens, rank, this.now - life.startedAt);
+            const outcome = routerProcess.purse.tryReserve(account, tokens, rank, this.now - routerProcess.startedAt);
             if (outcome === "reserved") {
-                life.open.push({ account, tokens });
+                routerProcess.reservations.push({ account, tokens });
             }
             return outcome !== "short";
         };
         if (!tryReserve()) {
-            life.purse.addWaiting(account, tokens);
-            this.report(life, false);
-            life.purse.addWaiting(account, -tokens);
+            routerProcess.purse.addWaiting(account, tokens);
+            this.report(routerProcess, false);
+            routerProcess.purse.addWaiting(account, -tokens);
             tryReserve();
         }
     }
 
-    private settleOne(life: RouterLife): void {
-        for (const open of life.open.splice(0, SETTLED_AT_ONCE)) {
-            const used = Math.floor(this.random() * (open.tokens + 1));
-            life.purse.settle(open.account, open.tokens, used);
-            this.consume(open.account, used);
+    private settleSome(routerProcess: RouterProcess): void {
+        for (const reservation of routerProcess.reservations.splice(0, SETTLED_PER_STEP)) {
+            const used = Math.floor(this.random() * (reservation.tokens + 1));
+            routerProcess.purse.settle(reservation.account, reservation.tokens, used);
+            this.consume(reservation.account, used);
         }
-        if (this.holder !== undefined && !this.isHolder(this.findRouter(life))) {
-            this.returnLoans(life, this.lives.get(this.holder)!);
+        if (this.holder !== undefined && !this.isHolder(this.findRouter(routerProcess))) {
+            this.returnLoans(routerProcess, this.routerProcesses.get(this.holder)!);
         }
     }
 
-    /** Some of what goes back to the holder is lost on the way. */
-    private returnLoans(life: RouterLife, holder: RouterLife): void {
-        for (const { account, tokens } of life.purse.listLeftOfLoans()) {
-            life.purse.returnLoan(account, tokens);
-            if (tokens % LOST_RETURN !== 0) {
+    /** Returns unused loans to the holder; some returns are lost. */
+    private returnLoans(routerProcess: RouterProcess, holder: RouterProcess): void {
+        for (const { account, tokens } of routerProcess.purse.listLeftOfLoans()) {
+            routerProcess.purse.returnLoan(account, tokens);
+            if (tokens % LOST_RETURN_DIVISOR !== 0) {
                 holder.purse.takeReturned(account, tokens, this.now - holder.startedAt);
             }
         }
@@ -252,189 +263,200 @@
         this.consumed.set(account, (this.consumed.get(account) ?? 0) + tokens);
     }
 
-    private report(life: RouterLife, closing: boolean): void {
-        const report = life.purse.createReport(
-            this.now - life.startedAt,
-            this.getWallMs(this.findRouter(life)),
+    private report(routerProcess: RouterProcess, closing: boolean): void {
+        const report = routerProcess.purse.createReport(
+            this.now - routerProcess.startedAt,
+            this.getWallMs(this.findRouter(routerProcess)),
             closing,
         );
         const draw = this.random();
-        if (life.isCut || draw < 0.1) {
-            this.late.push({ dueAt: this.now + Math.floor(this.random() * MAX_DELAY_MS), report });
+        if (routerProcess.isPartitioned || draw < 0.1) {
+            this.lateReports.push({ dueAt: this.now + Math.floor(this.random() * MAX_DELAY_MS), report });
             return;
         }
-        const answer = this.take(report);
+        const answer = this.applyReport(report);
         if (draw > 0.2) {
-            life.purse.applyAnswer(report.sequence, answer.accounts, this.now - life.startedAt);
+            routerProcess.purse.applyAnswer(report.sequence, answer.accounts, this.now - routerProcess.startedAt);
         }
         if (draw > 0.9) {
-            this.take(report);
+            this.applyReport(report);
         }
     }
 
-    /** As the leader does: adds how long an earlier start can have lived. */
-    private take(report: PrepaidReportCommand): PrepaidResult {
-        const before = this.book.tryGetPredecessor(report.router, report.incarnation);
-        const index = this.takenAt.length;
-        const predecessor = before === undefined
+    /** Applies a report like a leader, with a bound on the lifetime of the router's previous process. */
+    private applyReport(report: PrepaidReportCommand): PrepaidResult {
+        const earlierReports = this.book.tryGetPredecessor(report.router, report.incarnation);
+        const index = this.appendedAt.length;
+        const predecessor = earlierReports === undefined
             ? undefined
-            : this.routerLives.measure(before, report, {
-                newest: this.getEntryAge(before.newest.index),
-                answered: before.answered && this.getEntryAge(before.answered.index),
+            : this.predecessorLifetimes.measure(earlierReports, report, {
+                newest: this.getEntryAge(earlierReports.newest.index),
+                answered: earlierReports.answered && this.getEntryAge(earlierReports.answered.index),
             });
-        this.takenAt.push(this.now);
-        this.takenElapsed.push(this.getLeaderElapsedMs());
-        this.takenWall.push(CONTROLLERS.map(box => this.areClocksKnownOff ? undefined : this.getWallMs(box)));
+        this.appendedAt.push(this.now);
+        this.appendedElapsedMs.push(this.getLeaderElapsedMs());
+        this.appendedWallMs.push(CONTROLLERS.map(box => this.areClockStepsDetected ? undefined : this.getWallMs(box)));
         return this.book.applyReport({ ...report, predecessor }, index);
     }
 
     private getEntryAge(index: number): EntryAge {
-        return index >= this.ownFrom
-            ? { measuredMs: this.getLeaderElapsedMs() - this.takenElapsed[index]!, witnessedMs: [] }
+        return index >= this.firstIndexOfLeader
+            ? { measuredMs: this.getLeaderElapsedMs() - this.appendedElapsedMs[index]!, witnessedMs: [] }
             : {
                 measuredMs: undefined,
                 witnessedMs: CONTROLLERS.flatMap((box, i) => {
-                    const takenMs = this.takenWall[index]![i];
-                    return takenMs === undefined ? [] : [this.getWallMs(box) - takenMs];
+                    const appendedMs = this.appendedWallMs[index]![i];
+                    return appendedMs === undefined ? [] : [this.getWallMs(box) - appendedMs];
                 }),
             };
     }
 
-    /** As `LogStorage` has it. */
+    /** Corresponds to the elapsed time of `LogStorage`. */
     private getLeaderElapsedMs(): number {
-        const monotonicMs = this.now - this.leaderMissedMs;
-        return monotonicMs + this.leaderWatch.getMissedMs(this.getWallMs(LEADER), monotonicMs);
+        const monotonicMs = this.now - this.leaderSuspendedMs;
+        return monotonicMs + this.leaderClock.getMissedMs(this.getWallMs(LEADER), monotonicMs);
     }
 
-    private watchLeaderClock(): void {
-        this.leaderWatch.observe(this.getWallMs(LEADER), this.now - this.leaderMissedMs);
+    private observeLeaderClock(): void {
+        this.leaderClock.observe(this.getWallMs(LEADER), this.now - this.leaderSuspendedMs);
     }
 
-    /** The leader's box is suspended while routers go on, and most of them die before it hears of them again. */
+    /** Suspends the leader's box while routers continue; most of them are killed before the leader resumes. */
     private suspendLeader(): void {
         for (let i = 0; i < BURST_COUNT; i++) {
             const ms = Math.floor(this.random() * 400);
             this.now += ms;
-            this.leaderMissedMs += ms;
-            this.reserveAlone(this.lives.get(this.pick(ROUTERS))!);
+            this.leaderSuspendedMs += ms;
+            this.reserveUnreported(this.routerProcesses.get(this.pick(ROUTERS))!);
         }
         ROUTERS.filter(() => this.random() < 0.7).forEach(router => this.kill(router));
     }
 
     private getWallMs(box: string): number {
-        return this.now + MOST_STEP_MS + (this.stepped.boxes.includes(box) ? this.stepped.ms : 0);
+        return this.now + MAX_CLOCK_STEP_MS + (this.clockStep.boxes.includes(box) ? this.clockStep.ms : 0);
     }
 
-    /** The times of day of some boxes step, or those that have stepped are right again. */
+    /** Steps the wall clocks of some boxes, or reverses the last step. */
     private stepClocks(): void {
-        if (this.now - this.steppedAt < STEP_PAUSE_MS) {
+        if (this.now - this.clockSteppedAt < MIN_STEP_INTERVAL_MS) {
             return;
         }
-        this.steppedAt = this.now;
-        const ms = Math.floor((this.random() * 2 - 1) * MOST_STEP_MS);
-        const boxes = Array.from({ length: MOST_STEPPED }, () => this.pick([...CONTROLLERS, ...ROUTERS]));
-        this.stepped = this.stepped.boxes.length > 0 ? { boxes: [], ms: 0 } : { boxes, ms };
+        this.clockSteppedAt = this.now;
+        const ms = Math.floor((this.random() * 2 - 1) * MAX_CLOCK_STEP_MS);
+        const boxes = Array.from({ length: MAX_STEPPED_BOXES }, () => this.pick([...CONTROLLERS, ...ROUTERS]));
+        this.clockStep = this.clockStep.boxes.length > 0 ? { boxes: [], ms: 0 } : { boxes, ms };
     }
 
-    /** The times of day of all boxes step ahead, or back again; controllers that run notice it. */
+    /** Steps the wall clocks of all boxes forward, or reverses the step; running controllers detect it. */
     private stepAllClocks(): void {
-        this.areClocksKnownOff = this.stepped.boxes.length === 0;
-        this.stepped = this.areClocksKnownOff
-            ? { boxes: [...CONTROLLERS, ...ROUTERS], ms: MOST_STEP_MS }
+        this.areClockStepsDetected = this.clockStep.boxes.length === 0;
+        this.clockStep = this.areClockStepsDetected
+            ? { boxes: [...CONTROLLERS, ...ROUTERS], ms: MAX_CLOCK_STEP_MS }
             : { boxes: [], ms: 0 };
-        this.steppedAt = this.now;
-        this.takenWall.forEach(walls => walls.fill(undefined));
+        this.clockSteppedAt = this.now;
+        this.appendedWallMs.forEach(wallTimes => wallTimes.fill(undefined));
     }
 
-    /** Another leader, whose process knows of the entries of before only what its box's time of day says. */
-    private changeLeader(): void {
-        this.ownFrom = this.takenAt.length;
-        this.leaderWatch = new TimeOfDayWatch();
-        this.routerLives = new RouterLives();
+    /** Elects a leader that knows the age of earlier entries only by wall clocks. */
+    private electNewLeader(): void {
+        this.firstIndexOfLeader = this.appendedAt.length;
+        this.leaderClock = new TimeOfDayWatch();
+        this.predecessorLifetimes = new RouterLives();
     }
 
-    /** Controllers lose power, for a while some routers live on alone, then all of them lose power too. */
-    private losePowerEverywhere(): void {
-        this.changeLeader();
-        const alone = ROUTERS.filter(() => this.random() < CUT_PART);
+    /** Controllers lose power while some routers continue to run, and then all routers lose power. */
+    private losePowerOnAllBoxes(): void {
+        this.electNewLeader();
+        const running = ROUTERS.filter(() => this.random() < PARTITION_PROBABILITY);
         for (let i = 0; i < BURST_COUNT; i++) {
             this.now += Math.floor(this.random() * 400);
-            alone.forEach(router => this.reserveAlone(this.lives.get(router)!));
+            running.forEach(router => this.reserveUnreported(this.routerProcesses.get(router)!));
         }
-        if (this.areClocksKnownOff && this.random() < CUT_PART) {
-            // They are set right while nothing runs, and nobody notices.
-            this.stepped = { boxes: [], ms: 0 };
+        if (this.areClockStepsDetected && this.random() < PARTITION_PROBABILITY) {
+            // The clocks are corrected while no process runs, so the correction is not detected.
+            this.clockStep = { boxes: [], ms: 0 };
         }
         ROUTERS.forEach(router => this.kill(router));
     }
 
-    private reserveAlone(life: RouterLife): void {
+    private reserveUnreported(routerProcess: RouterProcess): void {
         const account = this.pick(ACCOUNTS);
-        if (life.purse.tryReserve(account, LARGEST_REQUEST, MOST_URGENT, this.now - life.startedAt) === "reserved") {
-            life.open.push({ account, tokens: LARGEST_REQUEST });
+        if (
+            routerProcess.purse.tryReserve(account, MAX_REQUEST_TOKENS, MOST_URGENT, this.now - routerProcess.startedAt)
+                === "reserved"
+        ) {
+            routerProcess.reservations.push({ account, tokens: MAX_REQUEST_TOKENS });
         }
     }
 
-    private deliverLate(): void {
-        const due = this.late.filter(entry => entry.dueAt <= this.now);
-        this.late = this.late.filter(entry => entry.dueAt > this.now);
-        due.forEach(entry => this.take(entry.report));
+    private deliverLateReports(): void {
+        const due = this.lateReports.filter(entry => entry.dueAt <= this.now);
+        this.lateReports = this.lateReports.filter(entry => entry.dueAt > this.now);
+        due.forEach(entry => this.applyReport(entry.report));
     }
 
-    /** A router dies, often amid a burst of requests that no report tells of; they may have run to their most. */
+    /** Kills a router, often during an unreported burst of requests that may have consumed all reserved tokens. */
     private kill(router: string): void {
-        const life = this.lives.get(router)!;
+        const routerProcess = this.routerProcesses.get(router)!;
         const account = this.pick(ACCOUNTS);
         const count = this.random() < 0.7 ? BURST_COUNT : 0;
         for (let i = 0; i < count; i++) {
             if (
-                life.purse.tryReserve(account, LARGEST_REQUEST, MOST_URGENT, this.now - life.startedAt) === "reserved"
+                routerProcess.purse.tryReserve(
+                    account,
+                    MAX_REQUEST_TOKENS,
+                    MOST_URGENT,
+                    this.now - routerProcess.startedAt,
+                ) === "reserved"
             ) {
-                life.open.push({ account, tokens: LARGEST_REQUEST });
+                routerProcess.reservations.push({ account, tokens: MAX_REQUEST_TOKENS });
             }
         }
-        life.open.forEach(open => this.consume(open.account, this.random() < 0.9 ? open.tokens : 0));
+        routerProcess.reservations.forEach(reservation =>
+            this.consume(reservation.account, this.random() < 0.9 ? reservation.tokens : 0)
+        );
         this.now += Math.floor(this.random() * 2_000);
         this.startRouter(router);
     }
 
-    private stopWell(router: string): void {
-        const life = this.lives.get(router)!;
-        while (life.open.length > 0) {
-            this.settleOne(life);
+    private stopGracefully(router: string): void {
+        const routerProcess = this.routerProcesses.get(router)!;
+        while (routerProcess.reservations.length > 0) {
+            this.settleSome(routerProcess);
         }
-        this.report(life, true);
+        this.report(routerProcess, true);
         this.startRouter(router);
     }
 
-    private lend(lender: RouterLife, borrower: RouterLife): void {
+    private lend(lender: RouterProcess, borrower: RouterProcess): void {
         const account = this.pick(ACCOUNTS);
-        const tokens = 1 + Math.floor(this.random() * LARGEST_REQUEST);
+        const tokens = 1 + Math.floor(this.random() * MAX_REQUEST_TOKENS);
         const lent = lender === borrower
             ? 0
             : lender.purse.lend(
                 account,
                 tokens,
-                this.pick(RANKS),
+                this.pick(REQUEST_RANKS),
                 this.holder === this.findRouter(lender),
                 this.now - lender.startedAt,
             );
         const draw = this.random();
-        if (draw < LOANS_IN_TIME) {
+        if (draw < ON_TIME_LOAN_FRACTION) {
             borrower.purse.addBorrowed(account, lent);
         }
-        else if (this.hasLateLoans && draw < LOANS_EVER) {
-            const delayMs = (draw - LOANS_IN_TIME) / (LOANS_EVER - LOANS_IN_TIME) * MAX_DELAY_MS;
+        else if (this.hasLateLoans && draw < DELIVERED_LOAN_FRACTION) {
+            const delayMs = (draw - ON_TIME_LOAN_FRACTION) / (DELIVERED_LOAN_FRACTION - ON_TIME_LOAN_FRACTION)
+                * MAX_DELAY_MS;
             this.lateLoans.push({ borrower, account, tokens: lent, dueAt: this.now + delayMs });
         }
     }
 
-    /** What comes for a router that has ended meanwhile is lost: its connections have gone with it. */
-    private takeLateLoans(): void {
+    /** Loans for a router process that has ended are lost with its connections. */
+    private deliverLateLoans(): void {
         const due = this.lateLoans.filter(({ dueAt }) => dueAt <= this.now);
         this.lateLoans = this.lateLoans.filter(({ dueAt }) => dueAt > this.now);
         for (const { borrower, account, tokens } of due) {
-            if ([...this.lives.values()].includes(borrower)) {
+            if ([...this.routerProcesses.values()].includes(borrower)) {
                 borrower.purse.addBorrowed(account, tokens);
             }
         }
@@ -444,13 +466,13 @@
         return this.holder === undefined || this.holder === router;
     }
 
-    private findRouter(life: RouterLife): string {
-        return [...this.lives].find(([, other]) => other === life)![0];
+    private findRouter(routerProcess: RouterProcess): string {
+        return [...this.routerProcesses].find(([, other]) => other === routerProcess)![0];
     }
 
     private topUp(): void {
         const account = this.pick(ACCOUNTS);
-        this.prepaid.set(account, this.prepaid.get(account)! + FIRST_PREPAID / 4);
+        this.prepaid.set(account, this.prepaid.get(account)! + INITIAL_PREPAID / 4);
         this.applyLimits();
     }
 
