--- a/bench/capacityBench.ts
+++ b/bench/capacityBench.ts
@@ -10,10 +10,10 @@
 import { fileURLToPath } from "node:url";
 import { formatRecord, openJournalFile } from "../src/adapters/disk/journalFile.js";
 import { Run } from "../src/daemons/sidecar/run.js";
-import { BillBook, type UsageRecord } from "../src/domain/billBook.js";
-import { BudgetBook } from "../src/domain/budgetBook.js";
+import { BillStore, type UsageRecord } from "../src/domain/billStore.js";
+import { BudgetStore } from "../src/domain/budgetStore.js";
 import { ConfigView } from "../src/domain/configView.js";
-import { GrantBook } from "../src/domain/grantBook.js";
+import { GrantStore } from "../src/domain/grantStore.js";
 import { Ledger, ShareSource } from "../src/domain/ledger.js";
 import { ObjectStore } from "../src/domain/objectStore.js";
 import { RequestIndex } from "../src/domain/requestIndex.js";
@@ -162,7 +162,7 @@
     return view;
 });
 measureMemory("budget_with_one_share_in_log", 10_000, count => {
-    const book = new BudgetBook();
+    const book = new BudgetStore();
     book.applyRegisterLedger({ type: "registerLedger", controller: "c", zone: "z", ledger: "c#0" });
     for (let i = 0; i < count; i++) {
         book.applyCreditTopUp({
@@ -178,16 +178,16 @@
     return book;
 });
 measureMemory("bill_kept", 10_000, count => {
-    const book = new BillBook();
+    const book = new BillStore();
     for (let i = 0; i < count; i++) {
         book.applyUsage(usage(i));
     }
     return book;
 });
 measureMemory("open_grant_at_router", 5_000, count => {
-    const book = new GrantBook("router", new SystemClock(), () => undefined);
+    const book = new GrantStore("router", new SystemClock(), () => undefined);
     for (let i = 0; i < count; i++) {
-        book.open(`budget-${i}`, "controller#0", "controller", 1_000);
+        book.openGrant(`budget-${i}`, "controller#0", "controller", 1_000);
     }
     return book;
 });
@@ -251,8 +251,8 @@
     }
 });
 await measureCpu("reserve_and_settle_at_router", 20_000, count => {
-    const book = new GrantBook("router", new SystemClock(), () => undefined);
-    const grant = book.open("budget", "controller#0", "controller", 1e9);
+    const book = new GrantStore("router", new SystemClock(), () => undefined);
+    const grant = book.openGrant("budget", "controller#0", "controller", 1e9);
     grant.granted = 1e12;
     for (let i = 0; i < count; i++) {
         book.tryReserve("budget", 400)!.settle(300);
--- a/bench/policySweep.ts
+++ b/bench/policySweep.ts
@@ -3,7 +3,7 @@
  * of the even part and of the demand that is assumed without evidence; ideal sharing on the side with the majority.
  */
 import { FollowDemandPolicy } from "../src/domain/allocationPolicy.js";
-import { MovingRate } from "../src/domain/movingAverage.js";
+import { DecayingRate } from "../src/domain/decayingRate.js";
 import type { TraceLine } from "../src/replay/trace.js";
 import { getDeployment, getOpeningTokens, getTraceBill, loadTrace } from "./runTrace.js";
 
@@ -23,10 +23,10 @@
     policy: FollowDemandPolicy,
 ): number {
     const left = new Map(accounts.map((account, i) => [`${account}-budget`, getOpeningTokens(i)]));
-    const demands = new Map<string, MovingRate>();
-    const getDemand = (budget: string, zone: string): MovingRate => {
+    const demands = new Map<string, DecayingRate>();
+    const getDemand = (budget: string, zone: string): DecayingRate => {
         const key = `${budget}@${zone}`;
-        const known = demands.get(key) ?? new MovingRate(DEMAND_HALF_LIFE_MS);
+        const known = demands.get(key) ?? new DecayingRate(DEMAND_HALF_LIFE_MS);
         demands.set(key, known);
         return known;
     };
@@ -80,7 +80,7 @@
             demand: getRate(budget, zone),
         }]));
         const account = { toppedUp: tokens, unallocated: tokens, shares };
-        const held = policy.getTarget({
+        const held = policy.computeTargetTokens({
             account,
             openLedgers: zones,
             self: cutZone,
--- a/src/bundleWiring.ts
+++ b/src/bundleWiring.ts
@@ -14,8 +14,8 @@
 import { RouterLinks } from "./daemons/directRouter/routerLinks.js";
 import { UpstreamEndReporter } from "./daemons/directRouter/upstreamEndReporter.js";
 import { UpstreamEndWatch } from "./daemons/directRouter/upstreamEndWatch.js";
-import { PrepaidPurse } from "./domain/prepaidPurse.js";
-import type { PrepaidPurseOptions } from "./domain/prepaidPurseOptions.js";
+import { LocalTokenBudget } from "./domain/localTokenBudget.js";
+import type { LocalTokenBudgetOptions } from "./domain/localTokenBudgetOptions.js";
 import { TokenHolders } from "./domain/tokenHolders.js";
 import { UpstreamLoad, type UpstreamLoadOptions } from "./domain/upstreamLoad.js";
 import type { BundleDecoder } from "./ports/bundleDecoder.js";
@@ -60,7 +60,7 @@
 export interface DirectRouterSettings extends BundleRoleSettings {
     readonly router: DirectRouterOptions;
     readonly load: UpstreamLoadOptions;
-    readonly purse: PrepaidPurseOptions;
+    readonly purse: LocalTokenBudgetOptions;
     readonly reporter: PrepaidReporterOptions;
     readonly borrower: PrepaidBorrowerOptions;
     readonly sharer: PlacementSharerOptions;
@@ -152,17 +152,17 @@
     const self = { address: settings.router.address, zone: settings.zone };
     const holders = new TokenHolders(self);
     const routerLinks = new RouterLinks(network, log);
-    const purse = new PrepaidPurse(settings.name, identity.incarnation, settings.purse);
+    const purse = new LocalTokenBudget(settings.name, identity.incarnation, settings.purse);
     const load = new UpstreamLoad(settings.zone, settings.load);
     const reporter = new PrepaidReporter(
         purse,
         network,
         clock,
         log,
-        () => daemon.getControllers(),
+        () => daemon.getControllerAddresses(),
         settings.reporter,
     );
-    const endReporter = new UpstreamEndReporter(network, clock, log, () => daemon.getControllers(), {
+    const endReporter = new UpstreamEndReporter(network, clock, log, () => daemon.getControllerAddresses(), {
         callTimeoutMs: settings.router.callTimeoutMs,
         retryMs: settings.router.redialMs,
     });
--- a/src/cli/operatorClient.ts
+++ b/src/cli/operatorClient.ts
@@ -1,6 +1,6 @@
 /** The command line's side of the operators' resource API. */
 import { request } from "undici";
-import { createRefusal, RefusalError, ResultCodes, type ResultName } from "../domain/resultCodes.js";
+import { createRefusal, RefusalError, type ResultCodeName, ResultCodes } from "../domain/resultCodes.js";
 
 const HEADERS_TIMEOUT_MS = 15_000;
 
@@ -71,7 +71,7 @@
 
 function createApiError(body: ErrorBody, status: number): RefusalError {
     const type = body.error?.type ?? "";
-    const code: ResultName = type in ResultCodes ? type as ResultName : "internal";
+    const code: ResultCodeName = type in ResultCodes ? type as ResultCodeName : "internal";
     return new RefusalError(
         createRefusal(code, body.error?.message ?? `status ${status}`, body.error?.ran ?? "unknown"),
     );
--- a/src/consensus/entryAges.ts
+++ b/src/consensus/entryAges.ts
@@ -4,7 +4,7 @@
  * time of day was set back meanwhile. Any other leader asks for the replicas' times of day too, since its own clock may say
  * nothing of a time before its process, or may have stepped.
  */
-import type { EntryAge } from "../domain/routerLife.js";
+import type { EntryAge } from "../domain/predecessorLifetimes.js";
 import type { Clock } from "../ports/clock.js";
 import type { Log } from "../ports/log.js";
 import type { PeerHandlers, PeerNetwork } from "../ports/peer.js";
@@ -69,11 +69,11 @@
         const ownMs = this.storage.tryGetMsSinceTaken(index);
         if (isOwn && ownMs !== undefined) {
             const measuredMs = answers.filter(({ isMeasured }) => isMeasured).map(({ ms }) => ms);
-            return { measuredMs: Math.max(ownMs, ...measuredMs), witnessedMs: [] };
+            return { measuredMs: Math.max(ownMs, ...measuredMs), controllerClocksMs: [] };
         }
         return {
             measuredMs: undefined,
-            witnessedMs: [ownMs, ...answers.map(({ ms }) => ms)].filter(ms => ms !== undefined),
+            controllerClocksMs: [ownMs, ...answers.map(({ ms }) => ms)].filter(ms => ms !== undefined),
         };
     }
 
--- a/src/consensus/logStorage.ts
+++ b/src/consensus/logStorage.ts
@@ -1,7 +1,7 @@
 /** The replicated log on disk: term and vote, entries, and the snapshot that stands for the entries before it. */
 import type { LogEntry, Replica } from "../domain/commands.js";
 import type { StateSnapshot } from "../domain/declaredState.js";
-import { TimeOfDayWatch } from "../domain/timeOfDayWatch.js";
+import { WallClockMonitor } from "../domain/wallClockMonitor.js";
 import { type Clock, SystemClock } from "../ports/clock.js";
 import type { Journal, OpenedJournal } from "../ports/journal.js";
 import { computeEntryLength, sumEntryLengths } from "./entryLength.js";
@@ -54,7 +54,7 @@
     private readonly journal: Journal;
     private lastWrite: Promise<void> = Promise.resolve();
     private readonly takenTimes = new Map<number, TakenTime>();
-    private readonly timeOfDay = new TimeOfDayWatch();
+    private readonly timeOfDay = new WallClockMonitor();
 
     constructor(opened: OpenedJournal, private readonly clock: Clock = new SystemClock()) {
         this.journal = opened.journal;
@@ -90,7 +90,7 @@
      * older than it looks. On that clock, milliseconds.
      */
     getMissedAt(): number {
-        return this.timeOfDay.getMissedAt(this.clock.getWallMs(), this.clock.getMonotonicMs());
+        return this.timeOfDay.getLastMissedAt(this.clock.getWallMs(), this.clock.getMonotonicMs());
     }
 
     private getElapsedMs(): number {
@@ -102,13 +102,13 @@
     async observeClock(): Promise<void> {
         if (this.timeOfDay.observe(this.clock.getWallMs(), this.clock.getMonotonicMs())) {
             this.forgetTimesOfDay();
-            await this.write({ type: "clockStep", aheadMs: this.timeOfDay.getAheadMs() });
+            await this.write({ type: "clockStep", aheadMs: this.timeOfDay.getStepOffsetMs() });
         }
     }
 
     /** How far the steps of the box's time of day come to, in milliseconds; 0 once they have been taken back. */
     getClockAheadMs(): number {
-        return this.timeOfDay.getAheadMs();
+        return this.timeOfDay.getStepOffsetMs();
     }
 
     getLastIndex(): number {
@@ -220,7 +220,7 @@
         this.syncedIndex = Math.min(this.syncedIndex, entries[0]!.index - 1);
         const stepSaved = this.observeClock();
         const monotonicMs = this.clock.getMonotonicMs();
-        const wallMs = this.timeOfDay.isSteady(monotonicMs) ? this.clock.getWallMs() : undefined;
+        const wallMs = this.timeOfDay.isTrusted(monotonicMs) ? this.clock.getWallMs() : undefined;
         this.noteTaken(entries, { wallMs, elapsedMs: this.getElapsedMs() });
         const takenWallMs = wallMs === undefined ? {} : { takenWallMs: wallMs };
         await Promise.all([stepSaved, this.write({ type: "entries", entries, ...takenWallMs })]);
@@ -243,7 +243,7 @@
             { type: "snapshot", snapshot },
             { type: "term", term: this.term, ...(this.votedFor === undefined ? {} : { votedFor: this.votedFor }) },
             ...(rest.length > 0 ? [{ type: "entries", entries: rest }] : []),
-            { type: "clockStep", aheadMs: this.timeOfDay.getAheadMs() },
+            { type: "clockStep", aheadMs: this.timeOfDay.getStepOffsetMs() },
             { type: "taken", wallMs: this.listTimesOfDay() },
         ]);
         await this.lastWrite;
@@ -274,7 +274,7 @@
                 }
                 return this.placeEntries(record.entries);
             case "clockStep":
-                this.timeOfDay.resume(record.aheadMs);
+                this.timeOfDay.restoreOffset(record.aheadMs);
                 return this.forgetTimesOfDay();
             case "taken":
                 for (const [index, wallMs] of record.wallMs) {
--- a/src/daemons/bundleController/evacuationService.ts
+++ b/src/daemons/bundleController/evacuationService.ts
@@ -2,8 +2,8 @@
  * Takes operators' orders to evacuate an availability zone to the log, and tells the routers that follow which zones are.
  */
 import type { ReplicatedLog } from "../../consensus/replicatedLog.js";
-import type { EvacuationList, EvacuationResult } from "../../domain/evacuationBook.js";
 import { MAX_ZONE_LENGTH } from "../../domain/evacuationCommands.js";
+import type { EvacuationList, EvacuationResult } from "../../domain/evacuationStore.js";
 import { createRefusal, RefusalError } from "../../domain/resultCodes.js";
 import type { Log } from "../../ports/log.js";
 import { evacuationNoticeMethod } from "../../protocol/fleetMethods.js";
--- a/src/daemons/bundleController/prepaidService.ts
+++ b/src/daemons/bundleController/prepaidService.ts
@@ -5,8 +5,8 @@
 import { getLeaderAddress } from "../../consensus/leaderAddress.js";
 import type { ReplicatedLog } from "../../consensus/replicatedLog.js";
 import type { PrepaidReportCommand } from "../../domain/bundleCommands.js";
-import type { PrepaidResult } from "../../domain/prepaidBook.js";
-import { RouterLives } from "../../domain/routerLife.js";
+import { PredecessorLifetimes } from "../../domain/predecessorLifetimes.js";
+import type { PrepaidResult } from "../../domain/prepaidLedger.js";
 import type { Clock } from "../../ports/clock.js";
 import type { Log } from "../../ports/log.js";
 import type { PeerNetwork } from "../../ports/peer.js";
@@ -20,7 +20,7 @@
 
 /** Each controller has one; only the leader's proposes. */
 export class PrepaidService {
-    private readonly lives = new RouterLives();
+    private readonly lives = new PredecessorLifetimes();
 
     constructor(
         private readonly replica: ReplicatedLog,
@@ -33,7 +33,7 @@
         while (!this.replica.isStopped()) {
             await clock.wait(LOG_PERIOD_MS);
             if (this.replica.isLeader()) {
-                for (const state of this.replica.state.prepaid.listScarcest(LOGGED_ACCOUNTS)) {
+                for (const state of this.replica.state.prepaid.listMostDepleted(LOGGED_ACCOUNTS)) {
                     this.log.info("prepaid_account", { ...state });
                 }
             }
@@ -56,7 +56,7 @@
     }
 
     private async tryMeasurePredecessor(report: PrepaidReportCommand): Promise<PrepaidReportCommand["predecessor"]> {
-        const reports = this.replica.state.prepaid.tryGetPredecessor(report.router, report.incarnation);
+        const reports = this.replica.state.prepaid.tryGetPredecessorReports(report.router, report.incarnation);
         if (reports === undefined) {
             return undefined;
         }
@@ -65,13 +65,13 @@
             entryAges.gather(reports.newest.index),
             reports.answered === undefined ? undefined : entryAges.gather(reports.answered.index),
         ]);
-        const predecessor = this.lives.measure(reports, report, { newest, answered });
+        const predecessor = this.lives.computePredecessorLifetime(reports, report, { newest, answered });
         this.log.info("router_replaced", {
             router: report.router,
             incarnation: report.incarnation,
             since_newest_ms: predecessor?.sinceNewestMs,
             since_answered_ms: predecessor?.sinceAnsweredMs,
-            witnesses: newest.witnessedMs.length,
+            witnesses: newest.controllerClocksMs.length,
         });
         return predecessor;
     }
--- a/src/daemons/bundleController/registrationService.ts
+++ b/src/daemons/bundleController/registrationService.ts
@@ -5,7 +5,7 @@
  */
 import { createRandomId } from "../../domain/identifiers.js";
 import { createRefusal, RefusalError } from "../../domain/resultCodes.js";
-import { type ChangeCursor, UpstreamChanges, type UpstreamNews } from "../../domain/upstreamChanges.js";
+import { type ChangeCursor, UpstreamChanges, type UpstreamUpdate } from "../../domain/upstreamChanges.js";
 import { type HeardRegistration, type UpstreamRegistration, UpstreamRegistry } from "../../domain/upstreamRegistry.js";
 import type { Clock } from "../../ports/clock.js";
 import type { Log } from "../../ports/log.js";
@@ -58,7 +58,7 @@
         }
         const change = this.registry.record(registration, this.clock.getMonotonicMs());
         // What routers have found out stands beside what the upstream reports.
-        const known = this.registry.getNewest(registration);
+        const known = this.registry.getLatest(registration);
         if (change === "state") {
             this.logState(known, "upstream");
             this.spread(known);
@@ -95,14 +95,14 @@
     }
 
     /** What a router is told that has been told as far as `since`. */
-    createNews(since: ChangeCursor | undefined, unheardMs: number): UpstreamNews {
-        return this.changes.createNews(since, unheardMs, this.clock.getMonotonicMs());
+    createNews(since: ChangeCursor | undefined, unheardMs: number): UpstreamUpdate {
+        return this.changes.createUpdate(since, unheardMs, this.clock.getMonotonicMs());
     }
 
     /** Everything known, for a router that asks for no news. */
     list(): HeardRegistration[] {
         const now = this.clock.getMonotonicMs();
-        this.changes.forgetOld(now);
+        this.changes.evictExpired(now);
         return this.registry.list(now);
     }
 
@@ -129,7 +129,7 @@
     }
 
     private tellRouters(heard: HeardRegistration): void {
-        this.changes.note(heard.registration.id);
+        this.changes.recordChange(heard.registration.id);
         this.followers.notifyAll(upstreamNoticeMethod, { upstreams: [heard] });
     }
 
--- a/src/daemons/bundleController/upstreamEndService.ts
+++ b/src/daemons/bundleController/upstreamEndService.ts
@@ -5,7 +5,7 @@
  */
 import { getLeaderAddress } from "../../consensus/leaderAddress.js";
 import type { ReplicatedLog } from "../../consensus/replicatedLog.js";
-import { CULPRIT_MOMENTS, type EndSuspect } from "../../domain/endSuspects.js";
+import { MIN_CULPRIT_MOMENTS, type PoisonSuspect } from "../../domain/poisonRequests.js";
 import type { Clock } from "../../ports/clock.js";
 import type { Log } from "../../ports/log.js";
 import type { PeerNetwork } from "../../ports/peer.js";
@@ -127,10 +127,10 @@
     }
 
     /** How long until so few of a request's moments are remembered that it is no culprit any more. */
-    private computeLeftMs({ ends }: EndSuspect, now: number): number {
+    private computeLeftMs({ ends }: PoisonSuspect, now: number): number {
         const moments = new Map(ends.map(end => [end.moment, end.life]));
-        const decisive = [...moments.values()].at(-CULPRIT_MOMENTS) ?? [...moments.values()][0]!;
-        const index = this.replica.state.upstreamEnds.tryGetIndex(decisive);
+        const decisive = [...moments.values()].at(-MIN_CULPRIT_MOMENTS) ?? [...moments.values()][0]!;
+        const index = this.replica.state.upstreamEnds.getEndIndex(decisive);
         const heardAt = index === undefined ? now : this.heardAt.get(index) ?? now;
         return Math.max(0, Math.round(heardAt + KEEP_ENDS_MS - now));
     }
@@ -143,7 +143,7 @@
 
     private tellChange(): void {
         const now = this.clock.getMonotonicMs();
-        const indexes = this.replica.state.upstreamEnds.listIndexes();
+        const indexes = this.replica.state.upstreamEnds.listEndIndexes();
         this.heardAt = new Map(indexes.map(index => [index, this.heardAt.get(index) ?? now]));
         const list = this.createList();
         const text = JSON.stringify(list.suspects.map(({ fingerprint, isCulprit }) => [fingerprint, isCulprit]));
--- a/src/daemons/controller/billReconciler.ts
+++ b/src/daemons/controller/billReconciler.ts
@@ -3,7 +3,7 @@
  * Once every other ledger has answered, one bill stands: a bill without doubt before a doubtful one, then the one of
  * the controller that comes first by name.
  */
-import type { BillRecord } from "../../domain/billBook.js";
+import type { BillRecord } from "../../domain/billStore.js";
 import { findBillMethod } from "../../protocol/ledgerMethods.js";
 import { type ControllerContext, getOtherControllers } from "./fleetView.js";
 
--- a/src/daemons/controller/budgetRefiller.ts
+++ b/src/daemons/controller/budgetRefiller.ts
@@ -2,8 +2,8 @@
  * Fills a ledger's share when it runs short: first from what is unallocated, then from its own routers' idle grants,
  * then from the other ledgers. One refill of a budget runs at a time; whoever else needs it waits for the same one.
  */
-import { getPolicy } from "../../domain/allocationPolicy.js";
-import type { MovingRate } from "../../domain/movingAverage.js";
+import { getAllocationPolicy } from "../../domain/allocationPolicy.js";
+import type { DecayingRate } from "../../domain/decayingRate.js";
 import { formatRefusal, getRefusal } from "../../domain/resultCodes.js";
 import type { Peer } from "../../ports/peer.js";
 import { recallGrantMethod, recallShareMethod } from "../../protocol/ledgerMethods.js";
@@ -36,7 +36,7 @@
     constructor(
         private readonly context: ControllerContext,
         private readonly reporter: ShareReporter,
-        private readonly getDemand: (budget: string) => MovingRate,
+        private readonly getDemand: (budget: string) => DecayingRate,
         private readonly getHolders: GrantHolders,
         /** Tokens that all draws need together that wait now. */
         private readonly getWaiting: (budget: string) => number,
@@ -108,7 +108,7 @@
         if (account === undefined) {
             return 0;
         }
-        return this.getBudgetPolicy(budget).getTarget({
+        return this.getBudgetPolicy(budget).computeTargetTokens({
             account,
             openLedgers: log.state.budgets.getOpenLedgers().map(record => record.ledger),
             self: ledger.id,
@@ -123,11 +123,13 @@
     }
 
     private mayRecall(budget: string): boolean {
-        return this.getBudgetPolicy(budget).mayRecall();
+        return this.getBudgetPolicy(budget).allowsRecall();
     }
 
-    private getBudgetPolicy(budget: string): ReturnType<typeof getPolicy> {
-        return getPolicy(this.context.log.state.objects.tryGet("budget", budget)?.spec.policy ?? "followDemand");
+    private getBudgetPolicy(budget: string): ReturnType<typeof getAllocationPolicy> {
+        return getAllocationPolicy(
+            this.context.log.state.objects.tryGet("budget", budget)?.spec.policy ?? "followDemand",
+        );
     }
 
     private async recallGrants(budget: string): Promise<void> {
@@ -160,7 +162,7 @@
         if (ledger.getBalance(budget).free < tokens) {
             await this.recallGrants(budget);
         }
-        const given = await ledger.giveBack(budget, tokens);
+        const given = await ledger.returnFreeTokens(budget, tokens);
         if (given > 0) {
             await this.reporter.report([budget]);
         }
@@ -177,8 +179,8 @@
         if (free < target * LOW_MARK && unallocated > 0 && isWorthHolding) {
             await this.allot(budget, Math.ceil(target - free));
         }
-        else if (free > target * HIGH_MARK && this.getBudgetPolicy(budget).mayGiveBack()) {
-            await ledger.giveBack(budget, Math.floor(free - target));
+        else if (free > target * HIGH_MARK && this.getBudgetPolicy(budget).allowsReturn()) {
+            await ledger.returnFreeTokens(budget, Math.floor(free - target));
         }
     }
 }
--- a/src/daemons/controller/controllerDaemon.ts
+++ b/src/daemons/controller/controllerDaemon.ts
@@ -1,6 +1,6 @@
 /** One controller: a replica of the log, a ledger, and what goes on in the background. */
 import { getLedgerController } from "../../domain/identifiers.js";
-import type { IntentBook } from "../../domain/intentBook.js";
+import type { IntentStore } from "../../domain/intentStore.js";
 import type { MembershipSource } from "../../ports/membership.js";
 import type { PeerHandlers } from "../../ports/peer.js";
 import { RepeatingTask } from "../task.js";
@@ -43,7 +43,7 @@
     constructor(
         private readonly context: ControllerContext,
         handlers: PeerHandlers,
-        intents: IntentBook,
+        intents: IntentStore,
         private readonly audit: AuditTrail,
         private readonly options: ControllerOptions,
     ) {
--- a/src/daemons/controller/grantCloser.ts
+++ b/src/daemons/controller/grantCloser.ts
@@ -39,7 +39,7 @@
         for (const answer of answers) {
             if (answer !== undefined) {
                 await Promise.all(answer.records.map(record => ledger.recordUsage(record)));
-                await ledger.recordSidecar(answer.box, answer.incarnation);
+                await ledger.recordSidecarIncarnation(answer.box, answer.incarnation);
             }
         }
         return answers;
@@ -58,7 +58,7 @@
             return;
         }
         const complete = open === 0
-            || heard.every(answer => ledger.isWitnessOf(current, answer.box, answer.incarnation));
+            || heard.every(answer => ledger.isCoveredBySidecar(current, answer.box, answer.incarnation));
         await ledger.closeGrant(grant.id, complete);
         this.service.forgetGrant(grant.id);
         events.info("grant_closed", { grant: grant.id, budget: grant.budget, rest_tokens: open, complete });
--- a/src/daemons/controller/intentService.ts
+++ b/src/daemons/controller/intentService.ts
@@ -1,6 +1,6 @@
 /** Answers routers for this controller's intents. */
 import { getLedgerController } from "../../domain/identifiers.js";
-import type { IntentBook } from "../../domain/intentBook.js";
+import type { IntentStore } from "../../domain/intentStore.js";
 import { createRefusal, RefusalError } from "../../domain/resultCodes.js";
 import type { PeerHandlers } from "../../ports/peer.js";
 import { intendMethod, withdrawIntentMethod } from "../../protocol/ledgerMethods.js";
@@ -11,7 +11,7 @@
 
     constructor(
         private readonly context: ControllerContext,
-        private readonly intents: IntentBook,
+        private readonly intents: IntentStore,
         /** After a lost disk, how long a request that may be a resend is refused. Milliseconds. */
         private readonly resendWindowMs: number,
         /** Whether this start found the disk empty. */
@@ -24,7 +24,7 @@
         handlers.add(intendMethod, async params => {
             this.checkMemory();
             const intent = { digest: params.digest, owner: params.owner };
-            const standing = await this.intents.intend(params.requestId, intent);
+            const standing = await this.intents.storeIntent(params.requestId, intent);
             return standing.owner === params.owner
                 ? { type: "granted" as const }
                 : { type: "taken" as const, ...standing };
--- a/src/daemons/controller/ledgerFile.ts
+++ b/src/daemons/controller/ledgerFile.ts
@@ -1,6 +1,6 @@
 /** Opens a controller's ledger from its journal; an empty journal begins a new incarnation. */
 import type { ReplicatedLog } from "../../consensus/replicatedLog.js";
-import { createRandomId, getLedgerId } from "../../domain/identifiers.js";
+import { createLedgerId, createRandomId } from "../../domain/identifiers.js";
 import { Ledger, ShareSource } from "../../domain/ledger.js";
 import type { LedgerEvent } from "../../domain/ledgerEvents.js";
 import type { Journal, OpenedJournal } from "../../ports/journal.js";
@@ -21,7 +21,7 @@
 export async function openLedger(opened: OpenedJournal, controller: string, log: ReplicatedLog): Promise<OpenedLedger> {
     const first = opened.records[0] as IncarnationRecord | undefined;
     const startedEmpty = first === undefined;
-    const id = first?.ledger ?? getLedgerId(controller, createRandomId());
+    const id = first?.ledger ?? createLedgerId(controller, createRandomId());
     const head: IncarnationRecord = { type: "incarnation", ledger: id };
     if (startedEmpty) {
         await opened.journal.append(head);
--- a/src/daemons/controller/ledgerService.ts
+++ b/src/daemons/controller/ledgerService.ts
@@ -1,6 +1,6 @@
 /** Answers routers and sidecars for this controller's ledger. */
+import { DecayingRate } from "../../domain/decayingRate.js";
 import { Ledger } from "../../domain/ledger.js";
-import { MovingRate } from "../../domain/movingAverage.js";
 import { createRefusal, RefusalError } from "../../domain/resultCodes.js";
 import { type Peer, PeerHandlers } from "../../ports/peer.js";
 import {
@@ -29,7 +29,7 @@
 export class LedgerService {
     readonly reporter: ShareReporter;
     readonly refiller: BudgetRefiller;
-    private readonly demands = new Map<string, MovingRate>();
+    private readonly demands = new Map<string, DecayingRate>();
     private readonly routers = new Map<string, Peer>();
     private readonly doneGrants = new Set<string>();
     private readonly deadlines = new Map<string, number>();
@@ -43,7 +43,7 @@
         /** Added for clocks that run at different speeds. */
         private readonly driftMarginMs: number,
     ) {
-        const getDemand = (budget: string): MovingRate => this.getDemand(budget);
+        const getDemand = (budget: string): DecayingRate => this.getDemand(budget);
         this.reporter = new ShareReporter(context, getDemand);
         this.refiller = new BudgetRefiller(
             context,
@@ -71,10 +71,10 @@
         });
     }
 
-    getDemand(budget: string): MovingRate {
+    getDemand(budget: string): DecayingRate {
         let demand = this.demands.get(budget);
         if (demand === undefined) {
-            demand = new MovingRate(DEMAND_HALF_LIFE_MS);
+            demand = new DecayingRate(DEMAND_HALF_LIFE_MS);
             this.demands.set(budget, demand);
         }
         return demand;
--- a/src/daemons/controller/operatorService.ts
+++ b/src/daemons/controller/operatorService.ts
@@ -1,6 +1,6 @@
 /** What operators can do: read and change declared objects, top budgets up, read the audit trail and the status. */
 import * as z from "zod";
-import type { BillRecord } from "../../domain/billBook.js";
+import type { BillRecord } from "../../domain/billStore.js";
 import { createRandomId } from "../../domain/identifiers.js";
 import {
     type DeclaredObject,
--- a/src/daemons/controller/shareReporter.ts
+++ b/src/daemons/controller/shareReporter.ts
@@ -1,6 +1,6 @@
 /** Tells the replicated log what this ledger has given back, spent, written off and drawn lately. */
 import type { ShareReport } from "../../domain/commands.js";
-import type { MovingRate } from "../../domain/movingAverage.js";
+import type { DecayingRate } from "../../domain/decayingRate.js";
 import type { ControllerContext } from "./fleetView.js";
 
 /** A demand is reported again when it has changed by more than this part. */
@@ -10,7 +10,7 @@
 export class ShareReporter {
     constructor(
         private readonly context: ControllerContext,
-        private readonly getDemand: (budget: string) => MovingRate,
+        private readonly getDemand: (budget: string) => DecayingRate,
     ) {}
 
     /** Reports the given budgets, or all, as far as anything has changed since the log's last word. */
--- a/src/daemons/controller/statusService.ts
+++ b/src/daemons/controller/statusService.ts
@@ -1,5 +1,5 @@
 /** The fleet at a glance: asks every controller for its part and puts them together. */
-import { checkBudgetConservation } from "../../domain/budgetBook.js";
+import { isBudgetConserved } from "../../domain/budgetStore.js";
 import type { DeclaredObject } from "../../domain/objects.js";
 import type { PeerHandlers } from "../../ports/peer.js";
 import {
@@ -146,7 +146,7 @@
                 unaccounted,
                 sealed,
                 shares,
-                conserved: checkBudgetConservation(account),
+                conserved: isBudgetConserved(account),
                 replicas: this.context.log.getMajority(),
             };
         });
--- a/src/daemons/directRouter/attempt.ts
+++ b/src/daemons/directRouter/attempt.ts
@@ -195,7 +195,7 @@
             return;
         }
         this.recordFirstByte();
-        const rest = this.splitter?.takeRest();
+        const rest = this.splitter?.takePartialEvent();
         if (this.options.isResumable && rest !== undefined && rest.length > 0) {
             this.options.sink.write(rest);
         }
--- a/src/daemons/directRouter/bundleFetcher.ts
+++ b/src/daemons/directRouter/bundleFetcher.ts
@@ -5,7 +5,7 @@
  */
 import { setTimeout } from "node:timers/promises";
 import type { StoredBundle } from "../../domain/bundleStore.js";
-import { computeRestMs } from "../../domain/versionRest.js";
+import { computeCooldownMs } from "../../domain/versionCooldown.js";
 import type { Log } from "../../ports/log.js";
 import type { PeerNetwork } from "../../ports/peer.js";
 import { decodeBundle, type EncodedBundle } from "../../protocol/bundleTransfer.js";
@@ -87,7 +87,7 @@
             if (answer.bundle !== undefined && answer.bundle.revision > this.getHeldRevision()) {
                 const fetchedAt = performance.now();
                 await this.take(answer.bundle);
-                restMs = computeRestMs(performance.now() - fetchedAt);
+                restMs = computeCooldownMs(performance.now() - fetchedAt);
                 this.log.info("bundle_fetched", {
                     controller,
                     revision: answer.bundle.revision,
--- a/src/daemons/directRouter/controllerFeed.ts
+++ b/src/daemons/directRouter/controllerFeed.ts
@@ -3,13 +3,13 @@
  * regularly, so that a notice that was lost is made good.
  */
 import type { RouterContact } from "../../domain/routerGroups.js";
-import type { ChangeCursor, UpstreamNews } from "../../domain/upstreamChanges.js";
+import type { ChangeCursor, UpstreamUpdate } from "../../domain/upstreamChanges.js";
 import type { Clock } from "../../ports/clock.js";
 import type { Log } from "../../ports/log.js";
 import type { Peer, PeerNetwork } from "../../ports/peer.js";
 import { type FollowAnswer, followMethod } from "../../protocol/fleetMethods.js";
 import type { BundleFetcher } from "./bundleFetcher.js";
-import { FollowedUpstreams, type HeardUpstream } from "./followedUpstreams.js";
+import { type UpstreamReportAge, UpstreamUpdateTracker } from "./followedUpstreams.js";
 
 /** Times in milliseconds. */
 export interface ControllerFeedOptions {
@@ -29,7 +29,7 @@
     /** Takes a controller's answer to the regular question. `routers`: those that follow it, as it last told. */
     receiveFollowAnswer(answer: FollowAnswer, routers: readonly RouterContact[]): void;
     /** Takes what a controller says of upstreams since its last word. `heard`: when it heard each that it knows. */
-    receiveUpstreamNews(news: UpstreamNews, heard: readonly HeardUpstream[]): void;
+    receiveUpstreamUpdate(news: UpstreamUpdate, heard: readonly UpstreamReportAge[]): void;
 }
 
 /** Decides whether a controller is asked for all upstreams with the next question. */
@@ -43,7 +43,7 @@
     hasMajority = false;
     /** When the controller was last asked for all upstreams. Monotonic clock, milliseconds. */
     upstreamsAskedAt = -Infinity;
-    private readonly upstreams: FollowedUpstreams;
+    private readonly upstreams: UpstreamUpdateTracker;
     /** The routers that follow the controller, and which of its lists that was. */
     private routers: readonly RouterContact[] = [];
     private routersCursor: ChangeCursor | undefined;
@@ -59,7 +59,7 @@
         private readonly isUpstreamTurn: UpstreamTurn,
         private readonly options: ControllerFeedOptions,
     ) {
-        this.upstreams = new FollowedUpstreams(options.upstreamUnheardMs);
+        this.upstreams = new UpstreamUpdateTracker(options.upstreamUnheardMs);
     }
 
     /** The controller's one task. */
@@ -109,7 +109,7 @@
             this.routersCursor = answer.routersCursor;
             this.listener.receiveFollowAnswer(answer, this.routers);
             if (answer.news !== undefined) {
-                this.listener.receiveUpstreamNews(answer.news, this.upstreams.take(answer.news));
+                this.listener.receiveUpstreamUpdate(answer.news, this.upstreams.applyUpdate(answer.news));
             }
             if (answer.bundleRevision !== undefined) {
                 void this.fetcher.fetch(this.address, answer.bundleRevision);
--- a/src/daemons/directRouter/directRouterDaemon.ts
+++ b/src/daemons/directRouter/directRouterDaemon.ts
@@ -1,23 +1,23 @@
 /** A router that connects directly to its upstreams: follows the controllers' configuration and handles callers' requests. */
-import { BundleIndex, type BundleService, pickTarget } from "../../domain/bundle.js";
+import { BundleIndex, type BundleService, selectTarget } from "../../domain/bundle.js";
+import { DistributedRateLimiter, LIMIT_PROBE_FRACTION } from "../../domain/distributedRateLimiter.js";
 import { EvacuatedZones } from "../../domain/evacuatedZones.js";
-import type { EvacuationList } from "../../domain/evacuationBook.js";
-import type { PrepaidPurse } from "../../domain/prepaidPurse.js";
-import { LIMIT_TRIAL_PART, RateSharing } from "../../domain/rateSharing.js";
+import type { EvacuationList } from "../../domain/evacuationStore.js";
+import type { LocalTokenBudget } from "../../domain/localTokenBudget.js";
 import { createRefusal, type Refusal } from "../../domain/resultCodes.js";
 import { RetryBudget } from "../../domain/retryBudget.js";
 import type { RouterContact } from "../../domain/routerGroups.js";
 import type { TokenHolders } from "../../domain/tokenHolders.js";
+import { UpstreamBackoffs } from "../../domain/upstreamBackoffs.js";
 import { UpstreamCandidates } from "../../domain/upstreamCandidates.js";
-import type { UpstreamNews } from "../../domain/upstreamChanges.js";
+import type { UpstreamUpdate } from "../../domain/upstreamChanges.js";
 import type { Placement, UpstreamLoad } from "../../domain/upstreamLoad.js";
 import {
-    getLifeKey,
+    getIncarnationKey,
     type HeardRegistration,
     type UpstreamRegistration,
     UpstreamRegistry,
 } from "../../domain/upstreamRegistry.js";
-import { UpstreamRests } from "../../domain/upstreamRests.js";
 import type { UpstreamSignals } from "../../domain/upstreamSignals.js";
 import type { PassThroughSink } from "../../ports/answerSink.js";
 import type { BundleDecoder } from "../../ports/bundleDecoder.js";
@@ -36,7 +36,7 @@
 import type { BundleListener } from "./bundleFetcher.js";
 import type { FeedListener } from "./controllerFeed.js";
 import { ControllerFeeds, type ControllerFeedsOptions } from "./controllerFeeds.js";
-import type { HeardUpstream } from "./followedUpstreams.js";
+import type { UpstreamReportAge } from "./followedUpstreams.js";
 import { OtherRouters } from "./otherRouters.js";
 import type { PlacementSharer } from "./placementSharer.js";
 import type { PrepaidBorrower } from "./prepaidBorrower.js";
@@ -46,25 +46,25 @@
 import { RelayRun } from "./relayRun.js";
 import type { RequestQuarantine } from "./requestQuarantine.js";
 import { RequestRecorder } from "./requestRecorder.js";
-import { SignalReceiver } from "./signalReceiver.js";
-import { UpstreamTeller } from "./upstreamTeller.js";
+import { UpstreamSignalRecorder } from "./signalReceiver.js";
+import { UpstreamNotifier } from "./upstreamTeller.js";
 
 /** Times in milliseconds. */
 export interface DirectRouterOptions extends RelayOptions, ControllerFeedsOptions {
     /** Addresses of the controllers to contact first. */
     readonly seeds: readonly string[];
     /** An upstream without a report for this long counts as lost, as long as controllers can be reached. */
-    readonly upstreamSilenceMs: number;
+    readonly upstreamReportTimeoutMs: number;
     /** Retries earned by each request to a service. */
     readonly retryRatio: number;
     /** Retries to a service that all routers together may accumulate. */
-    readonly retrySlack: number;
+    readonly maxSavedRetries: number;
     /** Fraction of a connection limit that is used; the rest is headroom for routers that start or stop. */
-    readonly connectionPart: number;
+    readonly connectionFraction: number;
     /** How long a request waits for a grant from the controllers before it asks other routers. */
     readonly controllerGrantMs: number;
     /** Number of routers to assume until the controllers report it; also the lower bound when limits are divided. */
-    readonly assumedRouters: number;
+    readonly assumedRouterCount: number;
 }
 
 const CLEANUP_PERIOD_MS = 10_000;
@@ -78,8 +78,8 @@
     private bundleIndex: BundleIndex | undefined;
     private readonly recorder: RequestRecorder;
     private readonly controllerFeeds: ControllerFeeds;
-    private readonly upstreamNotifier: UpstreamTeller;
-    private readonly signalReceiver: SignalReceiver;
+    private readonly upstreamNotifier: UpstreamNotifier;
+    private readonly signalReceiver: UpstreamSignalRecorder;
     private readonly otherRouters: OtherRouters;
     private readonly retryBudgets = new Map<string, RetryBudget>();
     private activeRequestCount = 0;
@@ -95,7 +95,7 @@
     constructor(
         override readonly options: DirectRouterOptions,
         override readonly load: UpstreamLoad,
-        override readonly purse: PrepaidPurse,
+        override readonly purse: LocalTokenBudget,
         override readonly upstreams: DirectUpstreams,
         override readonly log: Log,
         metrics: Metrics,
@@ -107,16 +107,16 @@
         override readonly quarantine: RequestQuarantine,
         network: PeerNetwork,
         private readonly clock: Clock,
-        readonly loop: LoopWatch,
+        readonly loopMonitor: LoopWatch,
     ) {
         super();
         this.recorder = new RequestRecorder(log, metrics);
         this.controllerFeeds = new ControllerFeeds(network, clock, log, this, options);
-        const backoffs = new UpstreamRests();
-        const coldRateSharing = new RateSharing(options.address, Math.random, 0);
-        const limitRateSharing = new RateSharing(options.address, Math.random, LIMIT_TRIAL_PART);
-        this.upstreamNotifier = new UpstreamTeller(network, log, () => this.getControllers());
-        this.signalReceiver = new SignalReceiver(
+        const backoffs = new UpstreamBackoffs();
+        const coldRateSharing = new DistributedRateLimiter(options.address, Math.random, 0);
+        const limitRateSharing = new DistributedRateLimiter(options.address, Math.random, LIMIT_PROBE_FRACTION);
+        this.upstreamNotifier = new UpstreamNotifier(network, log, () => this.getControllerAddresses());
+        this.signalReceiver = new UpstreamSignalRecorder(
             this.registry,
             backoffs,
             heard => this.upstreamNotifier.notifyControllers(heard),
@@ -133,7 +133,7 @@
         );
         this.otherRouters = new OtherRouters(
             options.address,
-            options.assumedRouters,
+            options.assumedRouterCount,
             purse,
             tokenHolders,
             placementSharer,
@@ -165,7 +165,7 @@
         this.cleanupTimer = setInterval(() => this.removeStaleUpstreams(), CLEANUP_PERIOD_MS);
         this.gaugeTimer = setInterval(() => this.signalReceiver.setGauges(), GAUGE_PERIOD_MS);
         // Upstreams have probably closed idle connections; a non-repeatable request sent on one could not be retried.
-        this.loop.onTimeMissed(() => this.upstreams.forgetExcept(new Set()));
+        this.loopMonitor.onTimeMissed(() => this.upstreams.forgetExcept(new Set()));
     }
 
     setSeeds(seeds: readonly string[]): void {
@@ -173,17 +173,17 @@
     }
 
     /** Returns the controllers' addresses: those with a majority first, then by the most recent response. */
-    getControllers(): string[] {
+    getControllerAddresses(): string[] {
         return this.controllerFeeds.getAddresses();
     }
 
     /** Returns the number of requests without a final response. */
-    getRunningCount(): number {
+    getActiveRequestCount(): number {
         return this.activeRequestCount;
     }
 
     /** Returns the active limits on callers; undefined before the first bundle. */
-    tryGetLimits() {
+    tryGetCallerLimits() {
         return this.bundleIndex?.bundle.limits;
     }
 
@@ -198,13 +198,13 @@
     }
 
     /** Starts a planned stop: the router is no longer ready but still accepts requests. */
-    beginStop(): void {
+    startDrain(): void {
         this.isDraining = true;
         this.log.info("router_stopping", { running: this.activeRequestCount });
     }
 
     /** Refuses all further requests, because they could not complete before the process exits. */
-    refuseNew(): void {
+    startRefusingRequests(): void {
         this.isRefusingRequests = true;
     }
 
@@ -243,22 +243,22 @@
     }
 
     private resolve(request: RelayRequest): ResolvedRequest | Refusal {
-        const { bundleIndex: bundleIndex } = this;
+        const { bundleIndex } = this;
         if (this.isRefusingRequests) {
             return createRefusal("draining", undefined, "no", this.options.retryAfterMs);
         }
         if (bundleIndex === undefined) {
             return createRefusal("notReady", "no bundle yet", "no", this.options.startRetryAfterMs);
         }
-        const route = bundleIndex.tryGetRoute(request.host, request.passed.target);
+        const route = bundleIndex.tryGetRoute(request.host, request.forwarded.target);
         if (route === undefined) {
             return createRefusal("routeUnknown");
         }
-        const account = request.key === undefined ? undefined : bundleIndex.tryGetAccount(request.key);
+        const account = request.apiKey === undefined ? undefined : bundleIndex.tryGetAccount(request.apiKey);
         if (!route.isPublic && account === undefined && bundleIndex.hasAccounts()) {
-            return createRefusal(request.key === undefined ? "keyMissing" : "keyWrong");
+            return createRefusal(request.apiKey === undefined ? "keyMissing" : "keyWrong");
         }
-        const service = bundleIndex.tryGetService(pickTarget(route, Math.random()).service)!;
+        const service = bundleIndex.tryGetService(selectTarget(route, Math.random()).service)!;
         return { request, route, service, account: route.isPublic ? undefined : account };
     }
 
@@ -278,10 +278,12 @@
 
     override getMaxUpstreamAgeMs(): number {
         const now = this.clock.getMonotonicMs();
-        const { upstreamSilenceMs } = this.options;
+        const { upstreamReportTimeoutMs } = this.options;
         // Upstream reports arrive through the controllers, so without contact upstreams keep their last known state.
         const isInContact = now - this.lastControllerResponseAt < this.getContactGapMs();
-        return isInContact && now - this.controllersReachableSince > upstreamSilenceMs ? upstreamSilenceMs : Infinity;
+        return isInContact && now - this.controllersReachableSince > upstreamReportTimeoutMs
+            ? upstreamReportTimeoutMs
+            : Infinity;
     }
 
     /** Time without a controller's response after which contact counts as lost. */
@@ -290,8 +292,8 @@
     }
 
     override getMaxConnections(service: BundleService): number {
-        const { connectionPart } = this.options;
-        return Math.max(1, Math.floor(service.maxConnections * connectionPart / this.getSharingRouterCount()));
+        const { connectionFraction } = this.options;
+        return Math.max(1, Math.floor(service.maxConnections * connectionFraction / this.getSharingRouterCount()));
     }
 
     override recordReplaced(upstream: UpstreamRegistration): void {
@@ -305,7 +307,7 @@
     }
 
     override recordSignals(upstream: UpstreamRegistration, signals: UpstreamSignals, sentAt: number): void {
-        this.signalReceiver.record(upstream, signals, sentAt);
+        this.signalReceiver.recordSignals(upstream, signals, sentAt);
     }
 
     override recordRateLimitedSend(): void {
@@ -323,12 +325,12 @@
 
     /** Computes this router's share of the retries that all routers may accumulate. */
     private computeRetrySlack(): number {
-        return Math.max(1, this.options.retrySlack / this.getSharingRouterCount());
+        return Math.max(1, this.options.maxSavedRetries / this.getSharingRouterCount());
     }
 
     /** Number of routers among which fleet-wide limits are divided. */
     private getSharingRouterCount(): number {
-        return Math.max(this.otherRouters.getCount(), this.options.assumedRouters);
+        return Math.max(this.otherRouters.getCount(), this.options.assumedRouterCount);
     }
 
     override async waitForGrant(account: string, tokens: number, rank: number, timeoutMs: number): Promise<void> {
@@ -349,7 +351,7 @@
     }
 
     override getEventLoopLagMs(): number {
-        return this.loop.arrivals.getLateMs();
+        return this.loopMonitor.arrivals.getLagMs();
     }
 
     override recordAnswered(resolved: ResolvedRequest, details: ResponseDetails): void {
@@ -363,7 +365,7 @@
     private logRefusal(request: RelayRequest, route: string, refusal: Refusal, details: RefusalDetails): void {
         this.recorder.recordRefused(request, refusal, {
             route,
-            account: this.bundleIndex?.tryGetAccount(request.key ?? "")?.name,
+            account: this.bundleIndex?.tryGetAccount(request.apiKey ?? "")?.name,
             revision: this.bundleIndex?.bundle.revision,
             ...details,
         });
@@ -377,7 +379,7 @@
 
     async receiveBundle(revision: number, text: string): Promise<void> {
         const startedAt = performance.now();
-        this.loop.noteWork("bundles");
+        this.loopMonitor.noteWork("bundles");
         const bundle = await this.decoder.decode(text);
         if (this.bundleIndex !== undefined && bundle.revision <= this.bundleIndex.bundle.revision) {
             return;
@@ -406,17 +408,17 @@
         }
         this.lastControllerResponseAt = now;
         if (this.otherRouters.record(routers, this.controllersReachableSince, this.prepaidReporter.routers, now)) {
-            this.retryBudgets.forEach(budget => budget.setMost(this.computeRetrySlack()));
+            this.retryBudgets.forEach(budget => budget.setMaxTokens(this.computeRetrySlack()));
         }
         if (answer.hasMajority) {
             this.controllerFeeds.setNamed(answer.controllers);
         }
     }
 
-    receiveUpstreamNews(news: UpstreamNews, heard: readonly HeardUpstream[]): void {
+    receiveUpstreamUpdate(news: UpstreamUpdate, heard: readonly UpstreamReportAge[]): void {
         const now = this.clock.getMonotonicMs();
         this.receiveUpstreams(news.changed);
-        heard.forEach(({ id, ageMs }) => this.registry.noteHeard(id, now - ageMs));
+        heard.forEach(({ id, ageMs }) => this.registry.recordHeard(id, now - ageMs));
     }
 
     /** Discards connections to an earlier process of an upstream: a request sent on one may or may not run. */
@@ -431,9 +433,9 @@
 
     private removeStaleUpstreams(): void {
         const now = this.clock.getMonotonicMs();
-        this.registry.forgetOld(now);
+        this.registry.evictExpired(now);
         const known = this.registry.list(now).map(({ registration }) => registration);
-        this.load.forgetExcept(new Set(known.map(getLifeKey)));
+        this.load.retainOnly(new Set(known.map(getIncarnationKey)));
         this.upstreams.forgetExcept(new Set(known.map(registration => registration.address)));
     }
 
@@ -459,7 +461,7 @@
                     age_ms: ageMs,
                 });
             }
-            this.signalReceiver.receive(heard);
+            this.signalReceiver.recordReportedLimit(heard);
         }
     }
 }
--- a/src/daemons/directRouter/followedUpstreams.ts
+++ b/src/daemons/directRouter/followedUpstreams.ts
@@ -1,13 +1,13 @@
 /** Tracks the upstream updates received from one controller and which upstreams that controller knows. */
-import type { ChangeCursor, UpstreamNews } from "../../domain/upstreamChanges.js";
+import type { ChangeCursor, UpstreamUpdate } from "../../domain/upstreamChanges.js";
 
 /** Time since a controller last heard from an upstream; an upper bound. */
-export interface HeardUpstream {
+export interface UpstreamReportAge {
     readonly id: string;
     readonly ageMs: number;
 }
 
-export class FollowedUpstreams {
+export class UpstreamUpdateTracker {
     private cursor: ChangeCursor | undefined;
     /** Ids of the upstreams that the controller knows; only for these does being absent from `unheard` mean recently heard. */
     private readonly knownIds = new Set<string>();
@@ -21,7 +21,7 @@
     }
 
     /** Applies an update. Returns when the controller last heard from each upstream that it knows. */
-    take({ cursor, isWhole, changed, unheard }: UpstreamNews): HeardUpstream[] {
+    applyUpdate({ cursor, isWhole, changed, unheard }: UpstreamUpdate): UpstreamReportAge[] {
         if (isWhole) {
             this.knownIds.clear();
         }
--- a/src/daemons/directRouter/otherRouters.ts
+++ b/src/daemons/directRouter/otherRouters.ts
@@ -1,6 +1,6 @@
 /** The other routers: who and how many they are, and which parts of this router have to know when that changes. */
-import type { PrepaidPurse } from "../../domain/prepaidPurse.js";
-import type { RateSharing } from "../../domain/rateSharing.js";
+import type { DistributedRateLimiter } from "../../domain/distributedRateLimiter.js";
+import type { LocalTokenBudget } from "../../domain/localTokenBudget.js";
 import type { RouterContact } from "../../domain/routerGroups.js";
 import type { TokenHolders } from "../../domain/tokenHolders.js";
 import { KnownRouters } from "./knownRouters.js";
@@ -24,10 +24,10 @@
     constructor(
         address: string,
         private count: number,
-        private readonly purse: PrepaidPurse,
+        private readonly purse: LocalTokenBudget,
         private readonly holders: TokenHolders,
         private readonly sharer: PlacementSharer,
-        private readonly sharings: readonly RateSharing[],
+        private readonly sharings: readonly DistributedRateLimiter[],
     ) {
         this.known = new KnownRouters(address);
     }
@@ -46,7 +46,7 @@
         const others = this.known.list();
         const count = Math.max(1 + others.length, reporting);
         if (now - heardSince > SETTLE_MS) {
-            this.sharings.forEach(sharing => sharing.settle());
+            this.sharings.forEach(sharing => sharing.enable());
         }
         const hasNewCount = count !== this.count;
         this.count = count;
@@ -59,7 +59,7 @@
         }
         if (hasNewOthers || hasNewCount) {
             const known = others.map(({ address }) => address);
-            this.sharings.forEach(sharing => sharing.setOthers(known, count));
+            this.sharings.forEach(sharing => sharing.setPeers(known, count));
             this.updateHoldings();
         }
         this.sharer.keepLinks();
@@ -68,7 +68,7 @@
 
     /** Where each router holds for itself, those count too that report and that no controller has named. */
     private updateHoldings(): void {
-        const holders = this.holders.hasOnlyHolders() ? this.count : this.holders.getHolderCount();
+        const holders = this.holders.hasOnlySingleRouterGroups() ? this.count : this.holders.getHolderCount();
         this.purse.setHoldings(account => ({ isHolder: this.holders.isHolder(account), holders }));
     }
 }
--- a/src/daemons/directRouter/placementSharer.ts
+++ b/src/daemons/directRouter/placementSharer.ts
@@ -68,11 +68,18 @@
     }
 
     /** Tells the others of a placement soon. */
-    share({ upstream, newTokens, beyondMs }: Placement, parts: readonly PromptPart[]): void {
-        if (newTokens >= this.options.leastTokens) {
+    share({ upstream, uncachedTokens, excessPrefillMs }: Placement, parts: readonly PromptPart[]): void {
+        if (uncachedTokens >= this.options.leastTokens) {
             const router = this.self.address;
             const { id, bornAt } = upstream;
-            const placement = { router, upstream: id, bornAt, newTokens, beyondMs, parts: parts.map(part => part.id) };
+            const placement = {
+                router,
+                upstream: id,
+                bornAt,
+                newTokens: uncachedTokens,
+                beyondMs: excessPrefillMs,
+                parts: parts.map(part => part.id),
+            };
             this.addOutgoing({ placement, passTo: "all" });
         }
     }
@@ -84,7 +91,7 @@
             if (router === this.self.address) {
                 continue;
             }
-            this.load.recordOther({ id: upstream, bornAt }, newTokens, beyondMs, parts, now);
+            this.load.recordPeerRequest({ id: upstream, bornAt }, newTokens, beyondMs, parts, now);
             if (passTo !== "none") {
                 this.addOutgoing({ placement, passTo });
             }
--- a/src/daemons/directRouter/prepaidBorrower.ts
+++ b/src/daemons/directRouter/prepaidBorrower.ts
@@ -2,7 +2,7 @@
  * Asks other routers for prepaid tokens: first the one that holds the account for this router, then, when the controllers
  * cannot be reached or have none left, the account's other holders. Gives back what is left.
  */
-import type { LeftOfLoan, PrepaidPurse } from "../../domain/prepaidPurse.js";
+import type { LocalTokenBudget, UnusedLoan } from "../../domain/localTokenBudget.js";
 import type { TokenHolders } from "../../domain/tokenHolders.js";
 import type { Log } from "../../ports/log.js";
 import type { PeerHandlers, PeerNetwork } from "../../ports/peer.js";
@@ -31,7 +31,7 @@
     private returnTimer: NodeJS.Timeout | undefined;
 
     constructor(
-        private readonly purse: PrepaidPurse,
+        private readonly purse: LocalTokenBudget,
         private readonly holders: TokenHolders,
         private readonly network: PeerNetwork,
         private readonly routers: RouterLinks,
@@ -59,7 +59,7 @@
         });
         handlers.add(returnPrepaidMethod, ({ accounts }) => {
             const now = performance.now();
-            accounts.forEach(({ account, tokens }) => this.purse.takeReturned(account, tokens, now));
+            accounts.forEach(({ account, tokens }) => this.purse.addReturnedLoan(account, tokens, now));
         });
     }
 
@@ -69,23 +69,23 @@
      * that 21 routers logged in a cut (one run).
      */
     returnLoans(): void {
-        const byHolder = new Map<string, LeftOfLoan[]>();
-        for (const left of this.purse.listLeftOfLoans()) {
-            const holder = this.holders.tryFindNearest(left.account, address => this.isAsked(address));
+        const byHolder = new Map<string, UnusedLoan[]>();
+        for (const left of this.purse.listUnusedLoans()) {
+            const holder = this.holders.tryGetReachableHolder(left.account, address => this.isAsked(address));
             if (holder !== undefined) {
                 byHolder.set(holder, [...byHolder.get(holder) ?? [], left]);
             }
         }
         for (const [holder, accounts] of byHolder) {
             if (this.routers.tryNotify(holder, returnPrepaidMethod, { accounts })) {
-                accounts.forEach(({ account, tokens }) => this.purse.returnLoan(account, tokens));
+                accounts.forEach(({ account, tokens }) => this.purse.deductReturnedLoan(account, tokens));
             }
         }
     }
 
     /** Asks the nearest holder for what a reservation lacks. Answers whether that came together. */
     async borrowFromHolder(account: string, tokens: number, rank: number): Promise<boolean> {
-        const holder = this.holders.tryFindNearest(account, address => this.isAsked(address));
+        const holder = this.holders.tryGetReachableHolder(account, address => this.isAsked(address));
         const missing = this.getShortfall(account, tokens, rank);
         if (holder !== undefined && missing > 0) {
             await this.ask(holder, { account, tokens: missing, rank, isHeldForAsker: true });
@@ -95,7 +95,7 @@
 
     /** Asks the account's other holders one after the other. Answers whether what a reservation lacks came together. */
     async borrow(account: string, tokens: number, rank: number): Promise<boolean> {
-        const others = this.holders.listOthers(account, address => this.isAsked(address));
+        const others = this.holders.listHoldersOfOtherGroups(account, address => this.isAsked(address));
         const count = Math.min(this.options.maxAsked, others.length);
         for (let i = 0; i < count; i++) {
             const missing = this.getShortfall(account, tokens, rank);
--- a/src/daemons/directRouter/prepaidReporter.ts
+++ b/src/daemons/directRouter/prepaidReporter.ts
@@ -1,7 +1,7 @@
 /** Reports a router's prepaid tokens to the controllers, one report at a time, and hands the grants to the purse. */
 import { Signal } from "../../consensus/signal.js";
-import type { PrepaidResult } from "../../domain/prepaidBook.js";
-import type { PrepaidPurse } from "../../domain/prepaidPurse.js";
+import type { LocalTokenBudget } from "../../domain/localTokenBudget.js";
+import type { PrepaidResult } from "../../domain/prepaidLedger.js";
 import type { Clock } from "../../ports/clock.js";
 import type { Log } from "../../ports/log.js";
 import type { PeerNetwork } from "../../ports/peer.js";
@@ -37,7 +37,7 @@
     private isReaching = true;
 
     constructor(
-        private readonly purse: PrepaidPurse,
+        private readonly purse: LocalTokenBudget,
         private readonly network: PeerNetwork,
         private readonly clock: Clock,
         private readonly log: Log,
--- a/src/daemons/directRouter/relayContext.ts
+++ b/src/daemons/directRouter/relayContext.ts
@@ -1,6 +1,6 @@
 /** State and operations of a router that its requests share. */
 import type { BundleService } from "../../domain/bundle.js";
-import type { PrepaidPurse } from "../../domain/prepaidPurse.js";
+import type { LocalTokenBudget } from "../../domain/localTokenBudget.js";
 import type { Refusal } from "../../domain/resultCodes.js";
 import type { RetryBudget } from "../../domain/retryBudget.js";
 import type { UpstreamCandidates } from "../../domain/upstreamCandidates.js";
@@ -23,9 +23,9 @@
     /** How long a request waits for prepaid tokens. */
     readonly grantWaitMs: number;
     /** Minimum inactivity after which a repeatable request is sent to another upstream. */
-    readonly leastSilenceMs: number;
+    readonly minInactivityTimeoutMs: number;
     /** The same as a multiple of the route's latency goal. */
-    readonly silenceGoals: number;
+    readonly inactivityTimeoutGoalFactor: number;
 }
 
 /** Details of a completed response, for logs. Ages are relative to the arrival of the request, in milliseconds. */
@@ -62,7 +62,7 @@
     abstract readonly registry: UpstreamRegistry;
     abstract readonly candidates: UpstreamCandidates;
     abstract readonly load: UpstreamLoad;
-    abstract readonly purse: PrepaidPurse;
+    abstract readonly purse: LocalTokenBudget;
     abstract readonly upstreams: DirectUpstreams;
     abstract readonly quarantine: RequestQuarantine;
 
--- a/src/daemons/directRouter/relayRequest.ts
+++ b/src/daemons/directRouter/relayRequest.ts
@@ -15,14 +15,14 @@
 }
 
 export interface RelayRequest extends RequestTimes {
-    readonly passed: PassedRequest;
+    readonly forwarded: PassedRequest;
     readonly host: string;
-    readonly key: string | undefined;
+    readonly apiKey: string | undefined;
     /** Timeout set by the caller, in milliseconds; undefined if there is none. */
-    readonly waitMs: number | undefined;
+    readonly timeoutMs: number | undefined;
     readonly promptTokens: number;
     /** Maximum number of output tokens. */
-    readonly outputLimit: number;
+    readonly maxOutputTokens: number;
     readonly parts: readonly PromptPart[];
     /** Id of the event after which the caller resumes a stream. */
     readonly resumeAfter: string | undefined;
@@ -38,6 +38,6 @@
 
 /** Computes a hash of the account and the content of a request that does not depend on the request id. */
 export function computeRequestFingerprint({ request, account }: ResolvedRequest): string {
-    const { method, target, body } = request.passed;
+    const { method, target, body } = request.forwarded;
     return computeFingerprint({ account: account?.name, method, host: request.host, target, body });
 }
--- a/src/daemons/directRouter/relayRun.ts
+++ b/src/daemons/directRouter/relayRun.ts
@@ -3,9 +3,9 @@
  * other upstreams until the caller has a final response.
  */
 import { createRefusal, type Refusal } from "../../domain/resultCodes.js";
-import { isWorthSending } from "../../domain/sendingTime.js";
-import type { ClosedCause } from "../../domain/upstreamCandidates.js";
-import type { BrokenRequest } from "../../domain/upstreamEndCommands.js";
+import { hasTimeToSend } from "../../domain/sendingTime.js";
+import type { UnavailableReason } from "../../domain/upstreamCandidates.js";
+import type { InterruptedRequest } from "../../domain/upstreamEndCommands.js";
 import type { LoadOutcome, Placement, StartedPlacement } from "../../domain/upstreamLoad.js";
 import type { UpstreamRegistration } from "../../domain/upstreamRegistry.js";
 import type { PassThroughSink } from "../../ports/answerSink.js";
@@ -37,7 +37,7 @@
     /** Time until an upstream may accept the request, if none does at present, in milliseconds; undefined if unknown. */
     private candidateWaitMs: number | undefined;
     /** Why no ready upstream could be used. */
-    private closedCauses: readonly ClosedCause[] = [];
+    private closedCauses: readonly UnavailableReason[] = [];
 
     constructor(
         private readonly context: RelayContext,
@@ -45,7 +45,7 @@
         private readonly sink: PassThroughSink,
     ) {
         const { request, route } = resolved;
-        this.deadline = request.arrivedAt + Math.min(route.timeoutMs, request.waitMs ?? Infinity);
+        this.deadline = request.arrivedAt + Math.min(route.timeoutMs, request.timeoutMs ?? Infinity);
         this.tokens = new TokenReservation(context, resolved, this.deadline, () => this.abortCause !== undefined);
     }
 
@@ -105,13 +105,17 @@
         const { request, service } = this.resolved;
         const { load, candidates } = this.context;
         const now = performance.now();
-        const { upstreams, waitMs, closed } = candidates.list(service, now, this.context.getMaxUpstreamAgeMs());
+        const { upstreams, waitMs, unavailableReasons } = candidates.list(
+            service,
+            now,
+            this.context.getMaxUpstreamAgeMs(),
+        );
         this.candidateWaitMs = waitMs;
-        this.closedCauses = closed;
+        this.closedCauses = unavailableReasons;
         const terms = {
-            tried: this.triedUpstreamIds,
-            routers: this.context.getRouterCount(),
-            longestWaitMs: this.context.getLongestWaitMs(service.name),
+            excludedIds: this.triedUpstreamIds,
+            routerCount: this.context.getRouterCount(),
+            maxWaitMs: this.context.getLongestWaitMs(service.name),
         };
         return load.tryChoose(upstreams, request, terms, now);
     }
@@ -154,13 +158,13 @@
         return new Attempt(this.context.upstreams, {
             call: {
                 upstream: placement.upstream,
-                request: request.passed,
+                request: request.forwarded,
                 account: account?.name,
                 remainingMs: Math.max(1, Math.floor(this.deadline - performance.now())),
                 priority: Math.min(LOWEST_PRIORITY, accountRank * ROUTE_RANK_COUNT + route.rank),
                 resumeAfter: this.progress.isHeadSent ? this.progress.lastEventId : undefined,
                 maxConnections: this.context.getMaxConnections(service),
-                mayStart: () => this.context.candidates.mayStart(placement.upstream, isLimited, performance.now()),
+                mayStart: () => this.context.candidates.canSend(placement.upstream, isLimited, performance.now()),
             },
             sink: this.sink,
             progress: this.progress,
@@ -168,7 +172,7 @@
             isResumable: route.kind === "stream" && route.isResumable,
             shouldRetryServerError: () => this.isRepeatable() && this.tryClaimRetry(),
             inactivityTimeoutMs: canRetryElsewhere
-                ? Math.max(options.leastSilenceMs, route.goalMs * options.silenceGoals)
+                ? Math.max(options.minInactivityTimeoutMs, route.goalMs * options.inactivityTimeoutGoalFactor)
                 : undefined,
             onSignals: signals => this.context.recordSignals(placement.upstream, signals, sentAt),
             onFirstByte: () => this.context.load.recordFirstByte(placement, performance.now()),
@@ -198,18 +202,18 @@
         const brokenRequest = { fingerprint: computeRequestFingerprint(this.resolved), hasBegun };
         this.logUnsuccessfulAttempt(upstream.id, outcome.type, brokenRequest);
         if (outcome.cause === "connection") {
-            this.context.quarantine.recordInterrupted(this.context.registry.getNewest(upstream), brokenRequest);
+            this.context.quarantine.recordInterrupted(this.context.registry.getLatest(upstream), brokenRequest);
         }
     }
 
     private logUnsuccessfulAttempt(
         upstream: string,
         outcome: AttemptOutcome["type"],
-        brokenRequest?: BrokenRequest,
+        brokenRequest?: InterruptedRequest,
     ): void {
         const { request, route } = this.resolved;
         this.context.log.info("attempt_ended", {
-            request: request.passed.id,
+            request: request.forwarded.id,
             route: route.name,
             upstream,
             attempt: this.sendCount,
@@ -260,7 +264,7 @@
 
     private hasTimeToSend(): boolean {
         const remainingMs = this.deadline - performance.now();
-        return this.abortCause === undefined && isWorthSending(remainingMs, this.context.getEventLoopLagMs());
+        return this.abortCause === undefined && hasTimeToSend(remainingMs, this.context.getEventLoopLagMs());
     }
 
     // Final responses
@@ -285,8 +289,8 @@
 
     private createResponseDetails(status: number): ResponseDetails {
         const { arrivedAt } = this.resolved.request;
-        const { firstByteAt: firstByteAt, longestPauseMs } = this.progress;
-        const { upstream, newTokens, aheadMs } = this.placement!;
+        const { firstByteAt, longestPauseMs } = this.progress;
+        const { upstream, uncachedTokens, queuedPrefillMs } = this.placement!;
         return {
             status,
             reservedAgeMs: this.reservedAt - arrivedAt,
@@ -294,8 +298,8 @@
             longestPauseMs,
             sendCount: this.sendCount,
             upstream: upstream.id,
-            newTokens,
-            aheadMs,
+            newTokens: uncachedTokens,
+            aheadMs: queuedPrefillMs,
         };
     }
 
@@ -343,7 +347,7 @@
 }
 
 /** Formats each cause with the number of upstreams that it affects. */
-function formatCauses(causes: readonly ClosedCause[]): string {
+function formatCauses(causes: readonly UnavailableReason[]): string {
     const counts = new Map<string, number>();
     causes.forEach(cause => counts.set(cause, 1 + (counts.get(cause) ?? 0)));
     return [...counts].map(([cause, count]) => `${cause} (${count})`).join(", ");
--- a/src/daemons/directRouter/requestQuarantine.ts
+++ b/src/daemons/directRouter/requestQuarantine.ts
@@ -2,7 +2,7 @@
  * Blocks requests that crash the upstreams which run them. The controllers decide which requests to block (see
  * endSuspects.ts), based on the crashes and complete responses that routers report.
  */
-import type { BrokenRequest } from "../../domain/upstreamEndCommands.js";
+import type { InterruptedRequest } from "../../domain/upstreamEndCommands.js";
 import type { UpstreamRegistration } from "../../domain/upstreamRegistry.js";
 import type { Clock } from "../../ports/clock.js";
 import type { PeerHandlers } from "../../ports/peer.js";
@@ -57,7 +57,7 @@
     }
 
     /** Records a request that was interrupted by the loss of its connection. `upstream`: its newest known registration. */
-    recordInterrupted(upstream: UpstreamRegistration, request: BrokenRequest): void {
+    recordInterrupted(upstream: UpstreamRegistration, request: InterruptedRequest): void {
         this.endWatch.recordInterrupted(upstream, request);
     }
 }
--- a/src/daemons/directRouter/requestRecorder.ts
+++ b/src/daemons/directRouter/requestRecorder.ts
@@ -22,7 +22,7 @@
         this.metrics.addCount("requests_answered");
         this.metrics.recordTiming("request_ms", ageMs);
         this.log.info("request_answered", {
-            request: request.passed.id,
+            request: request.forwarded.id,
             route: route.name,
             status: details.status,
             goal_ms: route.goalMs,
@@ -48,7 +48,7 @@
         this.metrics.addCount("requests_refused");
         this.metrics.addCount(`requests_refused_${refusal.code}`);
         this.log.warn("request_refused", {
-            request: request.passed.id,
+            request: request.forwarded.id,
             route: details.route,
             refusal: formatRefusal(refusal),
             account: details.account,
--- a/src/daemons/directRouter/signalReceiver.ts
+++ b/src/daemons/directRouter/signalReceiver.ts
@@ -1,6 +1,6 @@
 /** Applies the signals that upstreams attach to responses (rate limit, draining, back-off), and logs changes. */
+import type { UpstreamBackoffs } from "../../domain/upstreamBackoffs.js";
 import type { HeardRegistration, UpstreamRegistration, UpstreamRegistry } from "../../domain/upstreamRegistry.js";
-import type { UpstreamRests } from "../../domain/upstreamRests.js";
 import type { UpstreamSignals } from "../../domain/upstreamSignals.js";
 import type { Clock } from "../../ports/clock.js";
 import type { Log } from "../../ports/log.js";
@@ -8,14 +8,14 @@
 
 const UNREADABLE_LOG_INTERVAL_MS = 10_000;
 
-export class SignalReceiver {
+export class UpstreamSignalRecorder {
     /** Monotonic clock, milliseconds. */
     private unreadableLoggedAt = -Infinity;
 
     /** `notifyRouters`: forwards a change to the other routers. */
     constructor(
         private readonly registry: UpstreamRegistry,
-        private readonly backoffs: UpstreamRests,
+        private readonly backoffs: UpstreamBackoffs,
         private readonly notifyRouters: (heard: HeardRegistration) => void,
         private readonly clock: Clock,
         private readonly log: Log,
@@ -23,21 +23,21 @@
     ) {}
 
     /** `sentAt`: when the request was sent. Monotonic clock, milliseconds. */
-    record(upstream: UpstreamRegistration, signals: UpstreamSignals, sentAt: number): void {
+    recordSignals(upstream: UpstreamRegistration, signals: UpstreamSignals, sentAt: number): void {
         this.recordLimit(upstream, signals, sentAt);
         if (signals.isLeaving) {
             this.recordLeaving(upstream);
         }
-        if (signals.restMs !== undefined) {
-            this.recordBackoff(upstream, signals.restMs);
+        if (signals.backoffMs !== undefined) {
+            this.recordBackoff(upstream, signals.backoffMs);
         }
-        if (signals.unreadable.length > 0) {
-            this.logUnreadable(upstream, signals.unreadable);
+        if (signals.unparsed.length > 0) {
+            this.logUnreadable(upstream, signals.unparsed);
         }
     }
 
     /** Applies a rate limit that an upstream announced to another router. */
-    receive({ registration, limit }: HeardRegistration): void {
+    recordReportedLimit({ registration, limit }: HeardRegistration): void {
         if (limit === undefined) {
             return;
         }
@@ -62,15 +62,15 @@
 
     private recordLimit(
         upstream: UpstreamRegistration,
-        { limitPerSecond, unreadable }: UpstreamSignals,
+        { limitPerSecond, unparsed }: UpstreamSignals,
         sentAt: number,
     ): void {
         const previousLimit = this.registry.tryGetLimit(upstream);
         if (limitPerSecond === undefined) {
             // The response to a request sent before the newest announcement may predate it.
-            const isOutdated = sentAt <= this.registry.getLimitSaidAt(upstream);
+            const isOutdated = sentAt <= this.registry.getLimitReportedAt(upstream);
             // An unreadable signal may be a rate limit, so it does not lift one.
-            if (previousLimit === undefined || isOutdated || unreadable.length > 0) {
+            if (previousLimit === undefined || isOutdated || unparsed.length > 0) {
                 return;
             }
         }
@@ -88,7 +88,7 @@
 
     private recordLeaving(upstream: UpstreamRegistration): void {
         const now = this.clock.getMonotonicMs();
-        const previousState = this.registry.getNewest(upstream).state;
+        const previousState = this.registry.getLatest(upstream).state;
         if (this.registry.recordLeaving(upstream, now)) {
             this.log.info("upstream_leaving", { upstream: upstream.id, before: previousState });
             this.notifyRouters(this.registry.tryGetHeard(upstream, now)!);
--- a/src/daemons/directRouter/tokenReservation.ts
+++ b/src/daemons/directRouter/tokenReservation.ts
@@ -1,5 +1,5 @@
 /** Reserves the prepaid tokens of one request before each attempt and settles them by the outcome. */
-import type { ReserveOutcome } from "../../domain/purseAccount.js";
+import type { ReserveOutcome } from "../../domain/localAccountBudget.js";
 import { createRefusal, type Refusal } from "../../domain/resultCodes.js";
 import type { Attempt, AttemptOutcome } from "./attempt.js";
 import type { RelayContext } from "./relayContext.js";
@@ -67,7 +67,7 @@
         const { request, route } = this.resolved;
         const state = this.context.purse.tryGetState(account, performance.now());
         this.context.log.info("tokens_not_reserved", {
-            request: request.passed.id,
+            request: request.forwarded.id,
             account,
             rank: route.rank,
             outcome,
@@ -91,7 +91,7 @@
     private computeMaxTokens(eventCount: number, mayHaveRun: boolean): number {
         const { request } = this.resolved;
         const promptTokens = mayHaveRun ? 0 : request.promptTokens;
-        return promptTokens + Math.max(0, request.outputLimit - eventCount * this.getTokensPerEvent());
+        return promptTokens + Math.max(0, request.maxOutputTokens - eventCount * this.getTokensPerEvent());
     }
 
     /** Computes the tokens that an attempt consumed, or the whole reservation if that is unknown. */
--- a/src/daemons/directRouter/upstreamEndReporter.ts
+++ b/src/daemons/directRouter/upstreamEndReporter.ts
@@ -1,6 +1,6 @@
 /** Reports crashed upstreams and cleared requests to the controllers, retrying until one accepts the report. */
 import { Signal } from "../../consensus/signal.js";
-import { MOST_BROKEN_REQUESTS } from "../../domain/upstreamEndCommands.js";
+import { MAX_INTERRUPTED_REQUESTS } from "../../domain/upstreamEndCommands.js";
 import type { Clock } from "../../ports/clock.js";
 import type { Log } from "../../ports/log.js";
 import type { PeerNetwork } from "../../ports/peer.js";
@@ -60,7 +60,7 @@
 
     /** Queues the fingerprint of a suspect request that got a complete response. */
     addClearedRequest(fingerprint: string): void {
-        if (this.pendingCleared.size < MOST_BROKEN_REQUESTS) {
+        if (this.pendingCleared.size < MAX_INTERRUPTED_REQUESTS) {
             this.pendingCleared.add(fingerprint);
             this.pendingAdded.notifyAll();
         }
@@ -88,7 +88,7 @@
     private createReport(ends: readonly EndedUpstream[], cleared: readonly string[]): EndReport {
         const now = this.clock.getMonotonicMs();
         return {
-            ends: ends.map(({ life, interruptedAt: interruptedAt, requests }) => ({
+            ends: ends.map(({ life, interruptedAt, requests }) => ({
                 life,
                 brokenAgoMs: Math.max(0, Math.round(now - interruptedAt)),
                 requests: [...requests],
--- a/src/daemons/directRouter/upstreamEndWatch.ts
+++ b/src/daemons/directRouter/upstreamEndWatch.ts
@@ -4,8 +4,8 @@
  * Planned stops and lost boxes do not count as crashes. An upstream that is draining is not checked, and a box that is down
  * or unreachable does not refuse connections.
  */
-import { type BrokenRequest, MOST_BROKEN_REQUESTS } from "../../domain/upstreamEndCommands.js";
-import { getLifeKey, type UpstreamRegistration } from "../../domain/upstreamRegistry.js";
+import { type InterruptedRequest, MAX_INTERRUPTED_REQUESTS } from "../../domain/upstreamEndCommands.js";
+import { getIncarnationKey, type UpstreamRegistration } from "../../domain/upstreamRegistry.js";
 import type { Clock } from "../../ports/clock.js";
 import type { DirectUpstreams } from "../../ports/directUpstream.js";
 import type { Log } from "../../ports/log.js";
@@ -16,7 +16,7 @@
     readonly life: string;
     /** When the first request was interrupted. Monotonic clock, milliseconds. */
     readonly interruptedAt: number;
-    readonly requests: readonly BrokenRequest[];
+    readonly requests: readonly InterruptedRequest[];
 }
 
 /** A process that exits may close its connections a few milliseconds before its listener. */
@@ -24,7 +24,7 @@
 
 interface PendingCheck {
     readonly interruptedAt: number;
-    readonly requests: BrokenRequest[];
+    readonly requests: InterruptedRequest[];
 }
 
 export class UpstreamEndWatch {
@@ -39,17 +39,17 @@
     ) {}
 
     /** Records a request that was interrupted by the loss of its connection. `upstream`: its newest known registration. */
-    recordInterrupted(upstream: UpstreamRegistration, request: BrokenRequest): void {
+    recordInterrupted(upstream: UpstreamRegistration, request: InterruptedRequest): void {
         if (upstream.state !== "ready") {
             return;
         }
-        const life = getLifeKey(upstream);
+        const life = getIncarnationKey(upstream);
         const pendingCheck = this.pendingChecks.get(life);
         if (pendingCheck === undefined) {
             this.pendingChecks.set(life, { interruptedAt: this.clock.getMonotonicMs(), requests: [request] });
             void this.checkListening(upstream, life);
         }
-        else if (pendingCheck.requests.length < MOST_BROKEN_REQUESTS) {
+        else if (pendingCheck.requests.length < MAX_INTERRUPTED_REQUESTS) {
             pendingCheck.requests.push(request);
         }
     }
@@ -60,11 +60,11 @@
             await this.clock.wait(LISTENER_RECHECK_DELAY_MS);
             isListening = await this.upstreams.isListening(address);
         }
-        const { interruptedAt: interruptedAt, requests } = this.pendingChecks.get(life)!;
+        const { interruptedAt, requests } = this.pendingChecks.get(life)!;
         this.pendingChecks.delete(life);
         if (isListening === false) {
             this.log.warn("upstream_ended", { upstream: id, address, broken: requests.length });
-            this.onEnded({ life, interruptedAt: interruptedAt, requests });
+            this.onEnded({ life, interruptedAt, requests });
         }
     }
 }
--- a/src/daemons/directRouter/upstreamTeller.ts
+++ b/src/daemons/directRouter/upstreamTeller.ts
@@ -4,7 +4,7 @@
 import type { PeerNetwork } from "../../ports/peer.js";
 import { upstreamNoticeMethod } from "../../protocol/fleetMethods.js";
 
-export class UpstreamTeller {
+export class UpstreamNotifier {
     constructor(
         private readonly network: PeerNetwork,
         private readonly log: Log,
--- a/src/daemons/loopWatch.ts
+++ b/src/daemons/loopWatch.ts
@@ -4,8 +4,8 @@
  * in which no caller is read and no timer runs.
  */
 import { performance } from "node:perf_hooks";
-import { ArrivalClock } from "../domain/arrivalClock.js";
-import { TimeOfDayWatch } from "../domain/timeOfDayWatch.js";
+import { ArrivalEstimator } from "../domain/arrivalEstimator.js";
+import { WallClockMonitor } from "../domain/wallClockMonitor.js";
 import type { Clock } from "../ports/clock.js";
 import type { Log } from "../ports/log.js";
 import type { Metrics } from "../ports/metrics.js";
@@ -39,17 +39,17 @@
 /** Runs from `start` until `stop`. */
 export class LoopWatch {
     /** When what is read now probably came. */
-    readonly arrivals: ArrivalClock;
+    readonly arrivals: ArrivalEstimator;
     private timer: NodeJS.Timeout | undefined;
     private dueAt = 0;
     private period: LoopPeriod = createPeriod(0);
     private utilization = performance.eventLoopUtilization();
-    private readonly timeOfDay = new TimeOfDayWatch();
+    private readonly timeOfDay = new WallClockMonitor();
     private missedMs = 0;
     private readonly missedHandlers: (() => void)[] = [];
 
     constructor(private readonly clock: Clock, private readonly log: Log, private readonly metrics: Metrics) {
-        this.arrivals = new ArrivalClock(LOOP_TICK_MS, clock.getMonotonicMs());
+        this.arrivals = new ArrivalEstimator(LOOP_TICK_MS, clock.getMonotonicMs());
     }
 
     start(): void {
@@ -78,11 +78,11 @@
     /** Only a late turn needs the call after its poll, which costs another turn of the loop. */
     private watchTurn(): void {
         this.recordTick(this.clock.getMonotonicMs());
-        if (this.arrivals.getLateMs() > 0) {
-            setImmediate(() => this.arrivals.recordPolled());
+        if (this.arrivals.getLagMs() > 0) {
+            setImmediate(() => this.arrivals.recordPollEnd());
         }
         else {
-            this.arrivals.recordPolled();
+            this.arrivals.recordPollEnd();
         }
     }
 
--- a/src/daemons/router/ledgerClient.ts
+++ b/src/daemons/router/ledgerClient.ts
@@ -3,8 +3,8 @@
  * reached is drawn on first; the others when it has nothing and cannot get anything.
  */
 import { Signal } from "../../consensus/signal.js";
-import { getGrantFree, GrantBook, type Reservation, type RouterGrant } from "../../domain/grantBook.js";
-import { MovingRate } from "../../domain/movingAverage.js";
+import { DecayingRate } from "../../domain/decayingRate.js";
+import { computeFreeGrantTokens, GrantStore, type Reservation, type RouterGrant } from "../../domain/grantStore.js";
 import { createRefusal, getRefusal, type Refusal, RefusalError } from "../../domain/resultCodes.js";
 import type { Clock } from "../../ports/clock.js";
 import type { Log } from "../../ports/log.js";
@@ -46,8 +46,8 @@
 }
 
 export class LedgerClient {
-    private readonly book: GrantBook;
-    private readonly demands = new Map<string, MovingRate>();
+    private readonly book: GrantStore;
+    private readonly demands = new Map<string, DecayingRate>();
     private readonly drawing = new Map<string, Promise<unknown>>();
     private readonly exhausted = new Map<string, Exhaustion>();
     private readonly freed = new Signal();
@@ -59,7 +59,7 @@
         private readonly metrics: Metrics,
         private readonly options: LedgerClientOptions,
     ) {
-        this.book = new GrantBook(options.router, clock, () => this.freed.notifyAll());
+        this.book = new GrantStore(options.router, clock, () => this.freed.notifyAll());
     }
 
     addHandlers(handlers: PeerHandlers): void {
@@ -81,7 +81,7 @@
             if (refusal === undefined) {
                 continue;
             }
-            if (left <= 0 || !this.book.hasReserved(budget)) {
+            if (left <= 0 || !this.book.hasReservedTokens(budget)) {
                 // While the draw was on its way other runs may have settled.
                 const late = this.book.tryReserve(budget, tokens);
                 if (late !== undefined) {
@@ -108,10 +108,10 @@
         await this.sendReturns(all);
     }
 
-    private getDemand(budget: string): MovingRate {
+    private getDemand(budget: string): DecayingRate {
         let demand = this.demands.get(budget);
         if (demand === undefined) {
-            demand = new MovingRate(DEMAND_HALF_LIFE_MS);
+            demand = new DecayingRate(DEMAND_HALF_LIFE_MS);
             this.demands.set(budget, demand);
         }
         return demand;
@@ -125,7 +125,7 @@
     /** Draws in the background while there is still something to reserve from. */
     private drawAhead(budget: string, grant: RouterGrant): void {
         const wanted = this.getWanted(budget);
-        if (getGrantFree(grant) < wanted / 2 && !this.drawing.has(budget) && !this.isExhausted(budget, 1)) {
+        if (computeFreeGrantTokens(grant) < wanted / 2 && !this.drawing.has(budget) && !this.isExhausted(budget, 1)) {
             void this.drawInTurn(budget, 0);
         }
     }
@@ -134,7 +134,7 @@
     private async drawInTurn(budget: string, need: number): Promise<Refusal | undefined> {
         while (this.drawing.has(budget)) {
             await this.drawing.get(budget);
-            if (need > 0 && this.book.getOfBudget(budget).some(grant => getGrantFree(grant) >= need)) {
+            if (need > 0 && this.book.getByBudget(budget).some(grant => computeFreeGrantTokens(grant) >= need)) {
                 return undefined;
             }
         }
@@ -191,7 +191,7 @@
         const askedAt = this.clock.getMonotonicMs();
         const info: LedgerInfo = await this.network.call(controller.address, ledgerInfoMethod, {}, INFO_TIMEOUT_MS);
         const drawable = this.book.tryGetDrawable(budget, info.ledger, LEAST_LIFE_MS);
-        const grant = drawable ?? this.book.open(budget, info.ledger, controller.name, info.grantLifeMs);
+        const grant = drawable ?? this.book.openGrant(budget, info.ledger, controller.name, info.grantLifeMs);
         grant.drawSequence += 1;
         const params = { grant: grant.id, budget, sequence: grant.drawSequence, need, want: this.getWanted(budget) };
         try {
@@ -218,8 +218,8 @@
 
     /** Gives the free tokens of a budget back at once, because another router needs them. */
     private async returnFree(budget: string): Promise<number> {
-        const grants = this.book.getOfBudget(budget);
-        const free = grants.reduce((sum, grant) => sum + getGrantFree(grant), 0);
+        const grants = this.book.getByBudget(budget);
+        const free = grants.reduce((sum, grant) => sum + computeFreeGrantTokens(grant), 0);
         await this.sendReturns(grants);
         return free;
     }
@@ -239,7 +239,7 @@
         const now = this.clock.getMonotonicMs();
         const entries = grants.map(grant => {
             // Counted as returned before it is sent: if the answer is lost, the tokens are the ledger's.
-            grant.returned += getGrantFree(grant);
+            grant.returned += computeFreeGrantTokens(grant);
             const over = grant.retired || now >= grant.expiresAt;
             return { grant: grant.id, returnedTotal: grant.returned, done: over && grant.reserved === 0 };
         });
--- a/src/daemons/router/progress.ts
+++ b/src/daemons/router/progress.ts
@@ -1,6 +1,6 @@
 /** How far a request has come over its runs, and what the next run of it looks like. */
 import type { Upstream } from "../../domain/configView.js";
-import type { Reservation } from "../../domain/grantBook.js";
+import type { Reservation } from "../../domain/grantStore.js";
 import { createRandomId } from "../../domain/identifiers.js";
 import type { Ran, Refusal } from "../../domain/resultCodes.js";
 import type { AnswerPiece, RunEnd, StartRunParams } from "../../protocol/runMethods.js";
--- a/src/daemons/router/requestRunner.ts
+++ b/src/daemons/router/requestRunner.ts
@@ -3,7 +3,7 @@
  * claim, intent, reservation, run, settling; then the next attempt, or the final refusal at once.
  */
 import type { ConfigView, Upstream } from "../../domain/configView.js";
-import type { Reservation } from "../../domain/grantBook.js";
+import type { Reservation } from "../../domain/grantStore.js";
 import { createRefusal, getRefusal, type Refusal, RefusalError } from "../../domain/resultCodes.js";
 import { RetryBudget } from "../../domain/retryBudget.js";
 import type { UpstreamChooser } from "../../domain/upstreamChooser.js";
@@ -314,7 +314,7 @@
     private handleFailedStart(upstream: Upstream, refusal: Refusal): void {
         const { chooser, clock } = this.parts;
         if (refusal.code === "peerGone" || refusal.code === "peerTimeout" || refusal.code === "draining") {
-            chooser.avoid(upstream.name, clock.getMonotonicMs());
+            chooser.startBackoff(upstream.name, clock.getMonotonicMs());
         }
         else if (refusal.code === "queueFull" || refusal.code === "deadlineTooClose") {
             chooser.recordLoad(upstream.name, refusal.retryAfterMs ?? 1000, clock.getMonotonicMs());
@@ -336,7 +336,7 @@
             this.settle(outcome, progress, reservation, params);
             return outcome;
         }
-        reservation.hold(0);
+        reservation.settlePartially(0);
         return { type: "failed", refusal: { ...refusal, ran: "unknown" } };
     }
 
@@ -358,7 +358,7 @@
         }
         catch (error) {
             const refusal = getRefusal(error);
-            this.parts.chooser.avoid(upstream.name, this.parts.clock.getMonotonicMs());
+            this.parts.chooser.startBackoff(upstream.name, this.parts.clock.getMonotonicMs());
             const outcome = await this.reattach(job, sink, upstream.sidecar, progress);
             if (outcome !== undefined) {
                 this.settle(outcome, progress, reservation, params);
@@ -366,7 +366,7 @@
             }
             const relayed = progress.position - getResumeFrom(params);
             this.parts.witness.record(params, progress.promptTokens ?? 0, relayed);
-            reservation.hold((progress.promptTokens ?? 0) + relayed);
+            reservation.settlePartially((progress.promptTokens ?? 0) + relayed);
             progress.outputTokens += relayed;
             return { type: "failed", refusal: { ...refusal, ran: "unknown" } };
         }
@@ -393,7 +393,7 @@
         }
         const end = (outcome as { end?: RunEnd; }).end;
         if (end === undefined) {
-            reservation.hold(0);
+            reservation.settlePartially(0);
             return;
         }
         reservation.settle(end.promptTokens + end.outputTokens);
--- a/src/daemons/router/usageWitness.ts
+++ b/src/daemons/router/usageWitness.ts
@@ -1,5 +1,5 @@
 /** The router as second witness: what it has relayed of a run whose sidecar was lost, told to the grant's ledger. */
-import { createUsageRecord } from "../../domain/billBook.js";
+import { createUsageRecord } from "../../domain/billStore.js";
 import type { Clock } from "../../ports/clock.js";
 import type { StartRunParams } from "../../protocol/runMethods.js";
 import type { UsageOutbox } from "../usageOutbox.js";
--- a/src/daemons/sidecar/sidecarDaemon.ts
+++ b/src/daemons/sidecar/sidecarDaemon.ts
@@ -1,5 +1,5 @@
 /** One sidecar: the only way to the upstreams of its box. */
-import type { UsageRecord } from "../../domain/billBook.js";
+import type { UsageRecord } from "../../domain/billStore.js";
 import type { ConfigView, Upstream } from "../../domain/configView.js";
 import { getOwnerPrefix } from "../../domain/identifiers.js";
 import { RequestIndex } from "../../domain/requestIndex.js";
@@ -144,7 +144,7 @@
             return this.index.claim(params.requestId, params.digest, params.owner, this.clock.getMonotonicMs());
         });
         handlers.add(placeMethod, params => {
-            this.index.place(
+            this.index.recordDispatch(
                 params.requestId,
                 params.digest,
                 params.owner,
@@ -153,7 +153,7 @@
             );
         });
         handlers.add(unclaimMethod, params => {
-            this.index.unclaim(params.requestId, params.owner);
+            this.index.releaseClaim(params.requestId, params.owner);
         });
         handlers.add(holdWitnessMethod, params => {
             this.witnesses.hold(params);
@@ -170,7 +170,7 @@
     private watchClaims(peer: Peer): void {
         if (!this.claimants.has(peer)) {
             this.claimants.add(peer);
-            peer.onClose(() => this.index.unclaimUnplaced(getOwnerPrefix(peer.identity)));
+            peer.onClose(() => this.index.releaseUndispatchedClaims(getOwnerPrefix(peer.identity)));
         }
     }
 
--- a/src/daemons/sidecar/upstreamRunner.ts
+++ b/src/daemons/sidecar/upstreamRunner.ts
@@ -1,9 +1,9 @@
 /** The runs of one upstream: takes them in, queues them by rank, runs them, and writes their usage records. */
-import { createUsageRecord, type UsageRecord } from "../../domain/billBook.js";
+import { createUsageRecord, type UsageRecord } from "../../domain/billStore.js";
 import type { RankRule, Upstream } from "../../domain/configView.js";
 import { type QueueEntry, RankQueue } from "../../domain/rankQueue.js";
 import { createRefusal, getRefusal, type Refusal, RefusalError } from "../../domain/resultCodes.js";
-import { UpstreamRests } from "../../domain/upstreamRests.js";
+import { UpstreamBackoffs } from "../../domain/upstreamBackoffs.js";
 import type { Clock } from "../../ports/clock.js";
 import type { Log } from "../../ports/log.js";
 import type { Metrics } from "../../ports/metrics.js";
@@ -28,7 +28,7 @@
 export class UpstreamRunner {
     private readonly queue: RankQueue<WaitingRun>;
     private closedBy: Refusal | undefined;
-    private readonly rests = new UpstreamRests();
+    private readonly rests = new UpstreamBackoffs();
 
     constructor(
         private upstream: Upstream,
@@ -62,13 +62,17 @@
     }
 
     isIdle(): boolean {
-        return this.queue.getRunning() === 0 && this.queue.getWaiting() === 0;
+        return this.queue.getRunningCount() === 0 && this.queue.getWaitingCount() === 0;
     }
 
     getLoad(params?: StartRunParams): SidecarLoad {
         const now = this.clock.getMonotonicMs();
         const waitMs = params === undefined ? 0 : this.queue.estimateWait(params.rank, params.ageingMs, now);
-        return { running: this.queue.getRunning(), queued: this.queue.getWaiting(), waitMs: Math.round(waitMs) };
+        return {
+            running: this.queue.getRunningCount(),
+            queued: this.queue.getWaitingCount(),
+            waitMs: Math.round(waitMs),
+        };
     }
 
     /** Refuses at once what would come too late or cannot be queued. */
@@ -82,15 +86,15 @@
         }
         const waitMs = this.getLoad(params).waitMs;
         const { rank, ageingMs, deadlineMs } = params;
-        if (!this.queue.couldEndWithin(deadlineMs, rank, ageingMs, this.clock.getMonotonicMs())) {
+        if (!this.queue.canFinishWithin(deadlineMs, rank, ageingMs, this.clock.getMonotonicMs())) {
             const backAfterMs = Math.max(0, waitMs - deadlineMs) + SHORTEST_RETRY_MS;
             throw new RefusalError(
                 createRefusal("deadlineTooClose", `estimated wait ${waitMs} ms`, "no", backAfterMs),
             );
         }
-        if (waitMs > MAX_WAIT_MS || this.queue.getWaiting() >= MAX_QUEUE_LENGTH) {
+        if (waitMs > MAX_WAIT_MS || this.queue.getWaitingCount() >= MAX_QUEUE_LENGTH) {
             throw new RefusalError(
-                createRefusal("queueFull", `${this.queue.getWaiting()} waiting`, "no", Math.max(1000, waitMs / 2)),
+                createRefusal("queueFull", `${this.queue.getWaitingCount()} waiting`, "no", Math.max(1000, waitMs / 2)),
             );
         }
     }
--- a/src/daemons/usageOutbox.ts
+++ b/src/daemons/usageOutbox.ts
@@ -2,7 +2,7 @@
  * Usage records on their way to the ledgers of their grants. A record is kept until its ledger has synced it; while a
  * ledger cannot be reached its records wait here, and are handed over when the ledger asks about the grant.
  */
-import type { UsageRecord } from "../domain/billBook.js";
+import type { UsageRecord } from "../domain/billStore.js";
 import { getGrantLedger, getLedgerController } from "../domain/identifiers.js";
 import type { PeerNetwork } from "../ports/peer.js";
 import { usageMethod } from "../protocol/ledgerMethods.js";
--- a/src/domain/allocationPolicy.ts
+++ b/src/domain/allocationPolicy.ts
@@ -1,5 +1,5 @@
 /** Policies that allocate a budget's tokens among ledgers. docs/MEASURES.md compares them. */
-import type { BudgetAccount } from "./budgetBook.js";
+import type { BudgetAccount } from "./budgetStore.js";
 import type { BudgetSpec } from "./objects.js";
 
 /** Input of a policy: the replicated account, the open ledgers and the local state of the requesting ledger. */
@@ -16,25 +16,25 @@
 /** Determines how many tokens of a budget a ledger should hold. */
 export abstract class AllocationPolicy {
     /** Computes the number of free tokens that the requesting ledger should hold. */
-    abstract getTarget(view: AllocationView): number;
+    abstract computeTargetTokens(view: AllocationView): number;
     /** Whether a ledger that runs short may recall tokens from other ledgers. */
-    abstract mayRecall(): boolean;
+    abstract allowsRecall(): boolean;
     /** Whether a ledger returns the tokens that it holds in excess of its target. */
-    abstract mayGiveBack(): boolean;
+    abstract allowsReturn(): boolean;
 }
 
 /** Allocates an equal part of each top-up to every ledger, regardless of demand. Baseline for comparisons. */
 export class EqualSplitPolicy extends AllocationPolicy {
-    override getTarget(view: AllocationView): number {
+    override computeTargetTokens(view: AllocationView): number {
         const share = view.account.shares[view.self];
         const equalShare = Math.floor(view.account.toppedUp / Math.max(1, view.openLedgers.length));
         const heldTokens = (share?.allottedTotal ?? 0) - (share?.returnedTotal ?? 0);
         return Math.max(0, view.ownFree + equalShare - heldTokens);
     }
-    override mayRecall(): boolean {
+    override allowsRecall(): boolean {
         return false;
     }
-    override mayGiveBack(): boolean {
+    override allowsReturn(): boolean {
         return true;
     }
 }
@@ -52,7 +52,7 @@
         super();
     }
 
-    override getTarget(view: AllocationView): number {
+    override computeTargetTokens(view: AllocationView): number {
         const count = Math.max(1, view.openLedgers.length);
         const remaining = computeRemainingTokens(view.account, view.openLedgers);
         const ownDemand = view.ownDemand + this.assumedTokensPerSecond;
@@ -65,10 +65,10 @@
         const demandFraction = demandSum > 0 ? ownDemand / demandSum : 1 / count;
         return Math.floor(remaining * (this.evenFraction / count + (1 - this.evenFraction) * demandFraction));
     }
-    override mayRecall(): boolean {
+    override allowsRecall(): boolean {
         return true;
     }
-    override mayGiveBack(): boolean {
+    override allowsReturn(): boolean {
         return true;
     }
 }
@@ -92,6 +92,6 @@
 const equalSplitPolicy = new EqualSplitPolicy();
 const followDemandPolicy = new FollowDemandPolicy(EVEN_FRACTION, ASSUMED_TOKENS_PER_SECOND);
 
-export function getPolicy(name: BudgetSpec["policy"]): AllocationPolicy {
+export function getAllocationPolicy(name: BudgetSpec["policy"]): AllocationPolicy {
     return name === "equalSplit" ? equalSplitPolicy : followDemandPolicy;
 }
--- a/src/domain/arrivalClock.ts
+++ b/src/domain/arrivalEstimator.ts
@@ -19,7 +19,7 @@
 }
 
 /** All times are monotonic, in milliseconds. */
-export class ArrivalClock {
+export class ArrivalEstimator {
     /** When the last tick ran and when it was due. */
     private lastTickAt: number;
     private tickDueAt: number;
@@ -42,12 +42,12 @@
     }
 
     /** Called after the first poll that follows a tick. */
-    recordPolled(): void {
+    recordPollEnd(): void {
         this.isFirstPollAfterTick = false;
     }
 
     /** Lateness of the last tick in milliseconds; 0 if within timer jitter. */
-    getLateMs(): number {
+    getLagMs(): number {
         const latenessMs = this.lastTickAt - this.tickDueAt;
         return latenessMs > MIN_LATENESS_MS ? latenessMs : 0;
     }
@@ -55,7 +55,7 @@
     /** Estimates when data that is read at `now` arrived. */
     estimateArrival(now: number): number {
         return this.isFirstPollAfterTick
-            ? Math.min(now, this.lastTickAt) - this.getLateMs() / 2
+            ? Math.min(now, this.lastTickAt) - this.getLagMs() / 2
             : Math.min(now, this.lastTickAt + this.tickMs);
     }
 
@@ -68,7 +68,7 @@
     estimateFirstArrival(connection: ConnectionArrival, now: number): number {
         const arrivedAt = this.estimateArrival(now);
         // Without lag the tick count does not advance with the turns, and requests are read as they arrive.
-        const arrivedTogether = this.currentTurn <= connection.turn + 1 && this.getLateMs() > 0;
+        const arrivedTogether = this.currentTurn <= connection.turn + 1 && this.getLagMs() > 0;
         return arrivedTogether ? Math.min(arrivedAt, connection.arrivedAt) : arrivedAt;
     }
 }
--- a/src/domain/billBook.ts
+++ b/src/domain/billStore.ts
@@ -60,7 +60,7 @@
 }
 
 /** The bills of one ledger, in order of arrival. */
-export class BillBook {
+export class BillStore {
     private readonly bills = new Map<string, BillRecord>();
 
     tryGet(requestId: string): BillRecord | undefined {
--- a/src/domain/budgetBook.ts
+++ b/src/domain/budgetStore.ts
@@ -42,7 +42,7 @@
     readonly tokens: number;
 }
 
-export interface BudgetBookSnapshot {
+export interface BudgetStoreSnapshot {
     readonly budgets: Record<string, BudgetAccount>;
     readonly ledgers: readonly LedgerRecord[];
     readonly topUps: Record<string, TopUpRecord>;
@@ -53,7 +53,7 @@
     | { readonly type: "refused"; readonly refusal: Refusal; };
 
 /** Applies budget commands in log order. Deterministic. */
-export class BudgetBook {
+export class BudgetStore {
     private budgets = new Map<string, BudgetAccount>();
     private ledgers = new Map<string, LedgerRecord>();
     private topUps = new Map<string, TopUpRecord>();
@@ -190,7 +190,7 @@
         return account.shares[ledger];
     }
 
-    createSnapshot(): BudgetBookSnapshot {
+    createSnapshot(): BudgetStoreSnapshot {
         return structuredClone({
             budgets: Object.fromEntries(this.budgets),
             ledgers: [...this.ledgers.values()],
@@ -198,7 +198,7 @@
         });
     }
 
-    loadSnapshot(snapshot: BudgetBookSnapshot): void {
+    loadSnapshot(snapshot: BudgetStoreSnapshot): void {
         const copy = structuredClone(snapshot);
         this.budgets = new Map(Object.entries(copy.budgets));
         this.ledgers = new Map(copy.ledgers.map(record => [record.ledger, record]));
@@ -207,7 +207,7 @@
 }
 
 /** Whether topped up = unallocated + the sum of (allotted - returned) over all shares. */
-export function checkBudgetConservation(account: BudgetAccount): boolean {
+export function isBudgetConserved(account: BudgetAccount): boolean {
     let accountedTokens = account.unallocated;
     for (const share of Object.values(account.shares)) {
         accountedTokens += share.allottedTotal - share.returnedTotal;
--- a/src/domain/bundle.ts
+++ b/src/domain/bundle.ts
@@ -188,7 +188,7 @@
 }
 
 /** Selects a target of a route by weight. `randomValue` is in [0, 1). */
-export function pickTarget(route: BundleRoute, randomValue: number): RouteTarget {
+export function selectTarget(route: BundleRoute, randomValue: number): RouteTarget {
     const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
     let remaining = randomValue * total;
     for (const target of route.targets) {
--- a/src/domain/movingAverage.ts
+++ b/src/domain/decayingRate.ts
@@ -4,7 +4,7 @@
 const MIN_SPAN_MS = 2_000;
 
 /** An exponentially decaying rate, in amounts per second. */
-export class MovingRate {
+export class DecayingRate {
     private rate = 0;
     private lastMs: number | undefined;
     private firstMs: number | undefined;
--- a/src/domain/declaredState.ts
+++ b/src/domain/declaredState.ts
@@ -1,12 +1,12 @@
 /** The replicated state machine: the state that the log's commands change. */
-import { BudgetBook, type BudgetBookSnapshot, type BudgetResult } from "./budgetBook.js";
+import { type BudgetResult, BudgetStore, type BudgetStoreSnapshot } from "./budgetStore.js";
 import type { PutBundleCommand } from "./bundleCommands.js";
 import { type BundleResult, BundleStore, type StoredBundle } from "./bundleStore.js";
 import type { LogEntry } from "./commands.js";
-import { EvacuationBook, type EvacuationResult, type EvacuationSnapshot } from "./evacuationBook.js";
+import { type EvacuationResult, type EvacuationSnapshot, EvacuationStore } from "./evacuationStore.js";
 import { type ChangeResult, ObjectStore, type ObjectStoreSnapshot } from "./objectStore.js";
-import { PrepaidBook, type PrepaidResult, type PrepaidSnapshot } from "./prepaidBook.js";
-import { UpstreamEndBook, type UpstreamEndSnapshot } from "./upstreamEndBook.js";
+import { PrepaidLedger, type PrepaidResult, type PrepaidSnapshot } from "./prepaidLedger.js";
+import { type UpstreamEndSnapshot, UpstreamEndStore } from "./upstreamEndStore.js";
 
 export type ApplyResult = ChangeResult | BudgetResult | BundleResult | PrepaidResult | EvacuationResult;
 
@@ -16,7 +16,7 @@
 /** The complete replicated state at one log index. */
 export interface StateSnapshot {
     readonly objects: ObjectStoreSnapshot;
-    readonly budgets: BudgetBookSnapshot;
+    readonly budgets: BudgetStoreSnapshot;
     readonly bundle?: StoredBundle | undefined;
     readonly prepaid?: PrepaidSnapshot;
     readonly upstreamEnds?: UpstreamEndSnapshot | undefined;
@@ -26,11 +26,11 @@
 /** Applies log entries in order. Deterministic. */
 export class DeclaredState {
     readonly objects = new ObjectStore();
-    readonly budgets = new BudgetBook();
+    readonly budgets = new BudgetStore();
     readonly bundle = new BundleStore();
-    readonly prepaid = new PrepaidBook();
-    readonly upstreamEnds = new UpstreamEndBook();
-    readonly evacuations = new EvacuationBook();
+    readonly prepaid = new PrepaidLedger();
+    readonly upstreamEnds = new UpstreamEndStore();
+    readonly evacuations = new EvacuationStore();
 
     apply(entry: LogEntry): ApplyResult {
         const command = entry.command;
--- a/src/domain/rateSharing.ts
+++ b/src/domain/distributedRateLimiter.ts
@@ -11,10 +11,10 @@
  * probes: otherwise the upstream would stay unused if the chosen routers have no traffic.
  */
 import { chooseByRendezvous } from "./identifiers.js";
-import { getLifeKey, type UpstreamRegistration } from "./upstreamRegistry.js";
+import { getIncarnationKey, type UpstreamRegistration } from "./upstreamRegistry.js";
 
 /** Fraction of a limit that is reserved for probes by routers that were not chosen to send to the upstream. */
-export const LIMIT_TRIAL_PART = 0.1;
+export const LIMIT_PROBE_FRACTION = 0.1;
 
 /** Schedule on which one router sends to one upstream. Monotonic clock, milliseconds. */
 interface RateShare {
@@ -37,7 +37,7 @@
 /** Minimum rate that is shared, so that the end of a lower limit is detected within about a minute. */
 const MIN_REQUESTS_PER_SECOND = 0.1;
 
-export class RateSharing {
+export class DistributedRateLimiter {
     /** Keyed by incarnation. */
     private readonly shares = new Map<string, RateShare>();
     /** Time of the last request to each upstream before the routers changed, keyed by incarnation. */
@@ -63,7 +63,7 @@
      * Sets the other routers' addresses. `routerCount`: number of routers including this one, which is higher than the
      * number of known addresses if only the count was received.
      */
-    setOthers(peers: readonly string[], routerCount: number): void {
+    setPeers(peers: readonly string[], routerCount: number): void {
         this.peers = peers;
         this.routerCount = routerCount;
         this.haveRoutersChanged = true;
@@ -73,7 +73,7 @@
      * Allows sending to rate-limited upstreams. A router that has just started knows too few peers to share rates with
      * them.
      */
-    settle(): void {
+    enable(): void {
         this.isEnabled = true;
     }
 
@@ -99,7 +99,7 @@
 
     private getShare(upstream: UpstreamRegistration, perSecond: number, now: number): RateShare {
         this.discardStaleShares();
-        const key = getLifeKey(upstream);
+        const key = getIncarnationKey(upstream);
         const existing = this.shares.get(key);
         if (existing?.perSecond === perSecond) {
             return existing;
--- a/src/domain/evacuatedZones.ts
+++ b/src/domain/evacuatedZones.ts
@@ -2,7 +2,7 @@
  * A router's view of the evacuated availability zones: the newest list received from any controller, kept while none
  * can be reached.
  */
-import type { EvacuationList } from "./evacuationBook.js";
+import type { EvacuationList } from "./evacuationStore.js";
 
 export class EvacuatedZones {
     private index = 0;
--- a/src/domain/evacuationBook.ts
+++ b/src/domain/evacuationStore.ts
@@ -37,7 +37,7 @@
 /** Maximum number of zones, so that invalid names cannot exhaust memory. */
 const MAX_ZONES = 256;
 
-export class EvacuationBook {
+export class EvacuationStore {
     private readonly zones = new Map<string, ZoneState>();
     private index = 0;
 
--- a/src/domain/eventSplitter.ts
+++ b/src/domain/eventSplitter.ts
@@ -28,7 +28,7 @@
     }
 
     /** Returns and clears the buffered incomplete event. */
-    takeRest(): Buffer {
+    takePartialEvent(): Buffer {
         const rest = this.partialEvent;
         this.partialEvent = Buffer.alloc(0);
         return rest;
--- a/src/domain/grantBook.ts
+++ b/src/domain/grantStore.ts
@@ -27,7 +27,7 @@
 }
 
 /** Computes the tokens of a grant that can still be reserved. */
-export function getGrantFree(grant: RouterGrant): number {
+export function computeFreeGrantTokens(grant: RouterGrant): number {
     return grant.granted - grant.reserved - grant.held - grant.consumed - grant.returned;
 }
 
@@ -61,7 +61,7 @@
     }
 
     /** Ends the reservation when the run consumed at least `consumed`; the remainder is held for the ledger to settle. */
-    hold(consumed: number): void {
+    settlePartially(consumed: number): void {
         const knownConsumed = Math.min(consumed, this.tokens);
         this.close(knownConsumed, this.tokens - knownConsumed);
     }
@@ -78,7 +78,7 @@
     }
 }
 
-export class GrantBook {
+export class GrantStore {
     private readonly grants = new Map<string, RouterGrant>();
 
     constructor(
@@ -92,7 +92,7 @@
         return [...this.grants.values()];
     }
 
-    getOfBudget(budget: string): RouterGrant[] {
+    getByBudget(budget: string): RouterGrant[] {
         return this.getAll().filter(grant => grant.budget === budget);
     }
 
@@ -101,7 +101,7 @@
         const now = this.clock.getMonotonicMs();
         let earliest: RouterGrant | undefined;
         for (const grant of this.grants.values()) {
-            const usable = grant.budget === budget && now < grant.expiresAt && getGrantFree(grant) >= tokens;
+            const usable = grant.budget === budget && now < grant.expiresAt && computeFreeGrantTokens(grant) >= tokens;
             if (usable && (earliest === undefined || grant.expiresAt < earliest.expiresAt)) {
                 earliest = grant;
             }
@@ -114,20 +114,20 @@
     }
 
     /** Whether tokens of the budget are reserved by runs, and may become free when those end. */
-    hasReserved(budget: string): boolean {
-        return this.getOfBudget(budget).some(grant => grant.reserved > 0);
+    hasReservedTokens(budget: string): boolean {
+        return this.getByBudget(budget).some(grant => grant.reserved > 0);
     }
 
     /** Returns a grant of the ledger that is not retired and has more than `minRemainingMs` of its lifetime left. */
     tryGetDrawable(budget: string, ledger: string, minRemainingMs: number): RouterGrant | undefined {
         const now = this.clock.getMonotonicMs();
-        return this.getOfBudget(budget).find(grant =>
+        return this.getByBudget(budget).find(grant =>
             grant.ledger === ledger && !grant.retired && grant.expiresAt - now > minRemainingMs
         );
     }
 
     /** Opens an empty grant. Its lifetime starts now, so that it expires here before it expires at the ledger. */
-    open(budget: string, ledger: string, controller: string, lifetimeMs: number): RouterGrant {
+    openGrant(budget: string, ledger: string, controller: string, lifetimeMs: number): RouterGrant {
         const grant: RouterGrant = {
             id: createGrantId(ledger, this.router),
             ledger,
--- a/src/domain/identifiers.ts
+++ b/src/domain/identifiers.ts
@@ -2,7 +2,7 @@
 import { createHash, randomBytes } from "node:crypto";
 
 /** A ledger is identified by its controller and the incarnation of its disk. */
-export function getLedgerId(controller: string, incarnation: string): string {
+export function createLedgerId(controller: string, incarnation: string): string {
     return `${controller}#${incarnation}`;
 }
 
--- a/src/domain/intentBook.ts
+++ b/src/domain/intentStore.ts
@@ -17,7 +17,7 @@
     readonly owner: string;
 }
 
-export class IntentBook {
+export class IntentStore {
     private readonly intents = new Map<string, Intent>();
     private lastWrite: Promise<void> = Promise.resolve();
 
@@ -26,7 +26,7 @@
     }
 
     /** Stores the intent unless the request has one, and resolves with the stored intent once it is synced. */
-    async intend(requestId: string, intent: Intent): Promise<Intent> {
+    async storeIntent(requestId: string, intent: Intent): Promise<Intent> {
         const existing = this.intents.get(requestId);
         if (existing === undefined) {
             await this.record({ type: "intend", requestId, ...intent });
--- a/src/domain/ledger.ts
+++ b/src/domain/ledger.ts
@@ -5,7 +5,7 @@
  * Invariant for each budget: allotted - returned = free + open grants + spent + unaccounted.
  */
 import type { Journal } from "../ports/journal.js";
-import { BillBook, type BillRecord, type UsageRecord } from "./billBook.js";
+import { type BillRecord, BillStore, type UsageRecord } from "./billStore.js";
 import { getGrantLedger } from "./identifiers.js";
 import type { LedgerEvent } from "./ledgerEvents.js";
 import type { BudgetSpec } from "./objects.js";
@@ -73,7 +73,7 @@
     private readonly closedGrantIds = new Set<string>();
     private readonly topUps = new Map<string, StoredTopUp>();
     private readonly sidecarsSeen = new Map<string, { incarnation: string; at: number; }>();
-    private readonly bills = new BillBook();
+    private readonly bills = new BillStore();
     private eventCount = 0;
     /** Resolves when the newest record is synced. Appends are ordered, so all earlier records are synced as well. */
     private lastWrite: Promise<void> = Promise.resolve();
@@ -208,7 +208,7 @@
      * Permanently returns up to `tokens` free tokens, and resolves with the number returned. They become unallocated
      * when the share report is committed.
      */
-    async giveBack(budget: string, tokens: number): Promise<number> {
+    async returnFreeTokens(budget: string, tokens: number): Promise<number> {
         const returnedTokens = Math.min(tokens, this.getBalance(budget).free);
         if (returnedTokens <= 0) {
             return 0;
@@ -262,14 +262,14 @@
     }
 
     /** Records a sidecar's incarnation. Its reports are conclusive only for grants opened after this record. */
-    async recordSidecar(box: string, incarnation: string): Promise<void> {
+    async recordSidecarIncarnation(box: string, incarnation: string): Promise<void> {
         if (this.sidecarsSeen.get(box)?.incarnation !== incarnation) {
             await this.record({ type: "sidecarSeen", box, incarnation });
         }
     }
 
     /** Whether the sidecar incarnation was recorded before the grant was opened, so that its report covers all runs. */
-    isWitnessOf(grant: LedgerGrant, box: string, incarnation: string): boolean {
+    isCoveredBySidecar(grant: LedgerGrant, box: string, incarnation: string): boolean {
         const seen = this.sidecarsSeen.get(box);
         return seen !== undefined && seen.incarnation === incarnation && seen.at < grant.openedAt;
     }
@@ -458,7 +458,7 @@
 }
 
 /** Whether every balance adds up to the tokens of its share, matches the open grants and has no negative part. */
-export function checkLedgerConservation(ledger: Ledger): boolean {
+export function isLedgerConserved(ledger: Ledger): boolean {
     return ledger.getBudgets().every(budget => {
         const balance = ledger.getBalance(budget);
         const sum = balance.free + balance.open + balance.spent + balance.unaccounted;
--- a/src/domain/ledgerEvents.ts
+++ b/src/domain/ledgerEvents.ts
@@ -1,5 +1,5 @@
 /** Record types of the ledger's journal. */
-import type { BillRecord, UsageRecord } from "./billBook.js";
+import type { BillRecord, UsageRecord } from "./billStore.js";
 import type { LedgerGrant, StoredTopUp } from "./ledger.js";
 
 /** A change of a ledger. Grants, returns and usage carry cumulative totals. */
--- a/src/domain/purseAccount.ts
+++ b/src/domain/localAccountBudget.ts
@@ -5,9 +5,9 @@
  * assume that a router that ended without a final report has spent that much.
  */
 import type { PrepaidReportCommand } from "./bundleCommands.js";
-import { MovingRate } from "./movingAverage.js";
-import type { PrepaidAnswer } from "./prepaidBook.js";
-import type { PrepaidPurseOptions } from "./prepaidPurseOptions.js";
+import { DecayingRate } from "./decayingRate.js";
+import type { LocalTokenBudgetOptions } from "./localTokenBudgetOptions.js";
+import type { PrepaidAnswer } from "./prepaidLedger.js";
 
 /** Time of the last answer, shared by all accounts of one router. */
 export interface LastAnswer {
@@ -24,7 +24,7 @@
 }
 
 /** State of one account for logs, in tokens. */
-export interface PurseState {
+export interface LocalAccountBudgetState {
     readonly granted: number;
     /** Consumed and reserved tokens that count against the grant. */
     readonly charged: number;
@@ -56,7 +56,7 @@
 const USED_FRACTION_WEIGHT = 0.05;
 
 /** Counts are tokens. All `now` parameters are milliseconds on the monotonic clock of the router process. */
-export class PurseAccount {
+export class LocalAccountBudget {
     private granted = 0;
     private consumed = 0;
     private reserved = 0;
@@ -73,10 +73,10 @@
     /** Moving average of the fraction of reserved tokens that is consumed. */
     private usedFraction = 1;
     /** Tokens reserved per second: in total, and by rank from the most urgent. */
-    private readonly demand: MovingRate;
-    private readonly rankDemand: readonly MovingRate[];
+    private readonly demand: DecayingRate;
+    private readonly rankDemand: readonly DecayingRate[];
     /** Tokens requested per second by routers for which this one holds the account. */
-    private readonly lentDemand: MovingRate;
+    private readonly lentDemand: DecayingRate;
     private holding: AccountHolding = { isHolder: true, holders: 1 };
     /** Allowances in the newest report and in the newest answered report. */
     private reported = NO_ALLOWANCE;
@@ -91,12 +91,12 @@
     constructor(
         private prepaid: number,
         private readonly lastAnswer: LastAnswer,
-        private readonly options: PrepaidPurseOptions,
+        private readonly options: LocalTokenBudgetOptions,
     ) {
         this.free = prepaid;
-        this.demand = new MovingRate(options.demandHalfLifeMs);
-        this.lentDemand = new MovingRate(options.demandHalfLifeMs);
-        this.rankDemand = Array.from({ length: MAX_RANK + 1 }, () => new MovingRate(options.demandHalfLifeMs));
+        this.demand = new DecayingRate(options.demandHalfLifeMs);
+        this.lentDemand = new DecayingRate(options.demandHalfLifeMs);
+        this.rankDemand = Array.from({ length: MAX_RANK + 1 }, () => new DecayingRate(options.demandHalfLifeMs));
     }
 
     /** Sets the limit of the account. Returns whether it changed. */
@@ -114,7 +114,7 @@
     }
 
     /** Returns what determines reservations now. */
-    getState(now: number): PurseState {
+    getState(now: number): LocalAccountBudgetState {
         return {
             granted: this.granted,
             charged: this.getCharged(),
--- a/src/domain/prepaidPurse.ts
+++ b/src/domain/localTokenBudget.ts
@@ -6,12 +6,17 @@
  * before its own grant. Returning tokens is a loan in the opposite direction.
  */
 import type { PrepaidReportCommand } from "./bundleCommands.js";
-import type { PrepaidAnswer } from "./prepaidBook.js";
-import type { PrepaidPurseOptions } from "./prepaidPurseOptions.js";
-import { type AccountHolding, PurseAccount, type PurseState, type ReserveOutcome } from "./purseAccount.js";
+import {
+    type AccountHolding,
+    LocalAccountBudget,
+    type LocalAccountBudgetState,
+    type ReserveOutcome,
+} from "./localAccountBudget.js";
+import type { LocalTokenBudgetOptions } from "./localTokenBudgetOptions.js";
+import type { PrepaidAnswer } from "./prepaidLedger.js";
 
 /** Borrowed tokens of an account that a request did not use. */
-export interface LeftOfLoan {
+export interface UnusedLoan {
     readonly account: string;
     readonly tokens: number;
 }
@@ -19,8 +24,8 @@
 const SOLE_HOLDER: AccountHolding = { isHolder: true, holders: 1 };
 
 /** All `now` parameters are milliseconds on the monotonic clock of the router process. */
-export class PrepaidPurse {
-    private readonly accounts = new Map<string, PurseAccount>();
+export class LocalTokenBudget {
+    private readonly accounts = new Map<string, LocalAccountBudget>();
     private sequence = 0;
     private answeredSequence = 0;
     /** Shared with all accounts. */
@@ -30,7 +35,7 @@
     constructor(
         private readonly router: string,
         private readonly incarnation: string,
-        private readonly options: PrepaidPurseOptions,
+        private readonly options: LocalTokenBudgetOptions,
     ) {}
 
     /**
@@ -42,7 +47,7 @@
         for (const { account, tokens } of limits) {
             const known = this.accounts.get(account);
             if (known === undefined) {
-                const added = new PurseAccount(tokens, this.lastAnswer, this.options);
+                const added = new LocalAccountBudget(tokens, this.lastAnswer, this.options);
                 added.setHolding(this.getHolding(account));
                 this.accounts.set(account, added);
                 hasChanged = true;
@@ -75,7 +80,7 @@
     }
 
     /** Returns what determines reservations of an account, or undefined if the account has no limit. */
-    tryGetState(account: string, now: number): PurseState | undefined {
+    tryGetState(account: string, now: number): LocalAccountBudgetState | undefined {
         return this.accounts.get(account)?.getState(now);
     }
 
@@ -98,7 +103,7 @@
     }
 
     /** Returns the unused borrowed tokens of accounts that other routers hold for this one. */
-    listLeftOfLoans(): LeftOfLoan[] {
+    listUnusedLoans(): UnusedLoan[] {
         return [...this.accounts].flatMap(([account, entry]) => {
             const tokens = entry.getUnusedLoanTokens();
             return tokens > 0 ? [{ account, tokens }] : [];
@@ -106,12 +111,12 @@
     }
 
     /** Adds tokens that a borrower returned. */
-    takeReturned(account: string, tokens: number, now: number): void {
+    addReturnedLoan(account: string, tokens: number, now: number): void {
         this.accounts.get(account)?.addReturnedLoan(tokens, now);
     }
 
     /** Deducts unused borrowed tokens that are returned to their holder. */
-    returnLoan(account: string, tokens: number): void {
+    deductReturnedLoan(account: string, tokens: number): void {
         this.accounts.get(account)?.deductReturnedLoan(tokens);
     }
 
--- a/src/domain/prepaidPurseOptions.ts
+++ b/src/domain/localTokenBudgetOptions.ts
@@ -1,5 +1,5 @@
 /** Parameters of the token amounts that a router requests, may commit and holds back. */
-export interface PrepaidPurseOptions {
+export interface LocalTokenBudgetOptions {
     /** Duration of demand that a grant should cover, in milliseconds; should exceed the usual length of a partition. */
     readonly horizonMs: number;
     /** Maximum share of an account's remaining tokens that all routers together hold, as far as a router can tell. */
--- a/src/domain/endSuspects.ts
+++ b/src/domain/poisonRequests.ts
@@ -19,7 +19,7 @@
 }
 
 /** A request that was interrupted at several moments. */
-export interface EndSuspect {
+export interface PoisonSuspect {
     readonly fingerprint: string;
     /** Whether the request is considered the cause of the ends. */
     readonly isCulprit: boolean;
@@ -33,7 +33,7 @@
  * Moments from which a request is a culprit. A lower threshold refuses innocent requests where upstreams fail for unrelated
  * reasons, which is worse than a few more crashes.
  */
-export const CULPRIT_MOMENTS = 3;
+export const MIN_CULPRIT_MOMENTS = 3;
 /** Threshold while another candidate of the same rank shares an end: one more end may tell them apart. */
 const MIN_TIED_CULPRIT_MOMENTS = 4;
 
@@ -49,8 +49,8 @@
 export function findSuspects(
     requests: Iterable<RequestEnds>,
     endCounts: EndCountByMoment,
-    culpritMoments = CULPRIT_MOMENTS,
-): EndSuspect[] {
+    culpritMoments = MIN_CULPRIT_MOMENTS,
+): PoisonSuspect[] {
     const suspects = [...requests]
         .map(([fingerprint, ends]) => ({ fingerprint, ends: filterFullyCoveredEnds(ends, endCounts) }))
         .filter(({ ends }) => countMoments(ends) >= MIN_SUSPECT_MOMENTS)
--- a/src/domain/routerLife.ts
+++ b/src/domain/predecessorLifetimes.ts
@@ -10,7 +10,7 @@
  */
 
 import type { PrepaidReportCommand } from "./bundleCommands.js";
-import type { PredecessorReports } from "./prepaidBook.js";
+import type { PredecessorReports } from "./prepaidLedger.js";
 import type { ReportTime } from "./reportBound.js";
 
 /** Allowance for the drift between the clocks of two boxes. */
@@ -29,13 +29,13 @@
     /** Measured by the monotonic clock of the leader that appended the entry, if it is still leading. */
     readonly measuredMs: number | undefined;
     /** According to the clocks of controllers on different boxes, most of them wall clocks. */
-    readonly witnessedMs: readonly number[];
+    readonly controllerClocksMs: readonly number[];
 }
 
 type Predecessor = NonNullable<PrepaidReportCommand["predecessor"]>;
 
 /** Bounds the lifetimes of routers' earlier processes on behalf of the leader. */
-export class RouterLives {
+export class PredecessorLifetimes {
     /** Newest report before each router's restart, and the time from that report to the start of the new process. */
     private readonly downtimes = new Map<string, { readonly index: number; readonly ms: number; }>();
 
@@ -43,7 +43,7 @@
      * Returns the maximum time that the process preceding the sender of `report` can have run after its last reports,
      * or undefined if the clocks provide no bound. `ages`: ages of the log entries of those reports.
      */
-    measure(
+    computePredecessorLifetime(
         { answered, newest }: PredecessorReports,
         report: PrepaidReportCommand,
         ages: { readonly answered: EntryAge | undefined; readonly newest: EntryAge; },
@@ -61,7 +61,7 @@
     private tryComputeLifetimeMs(
         earlier: ReportTime,
         report: PrepaidReportCommand,
-        { measuredMs, witnessedMs }: EntryAge,
+        { measuredMs, controllerClocksMs }: EntryAge,
     ): number | undefined {
         if (measuredMs !== undefined) {
             return Math.ceil(Math.max(0, measuredMs - report.uptimeMs) * CLOCK_DRIFT_FACTOR + CLOCK_RESOLUTION_MS);
@@ -70,9 +70,9 @@
         const otherDowntimes = [...this.downtimes].filter(([router, { index }]) =>
             router !== report.router && index >= earlier.index
         );
-        return witnessedMs.length < MIN_CONTROLLER_CLOCKS ? undefined : tryComputeWallClockSpanMs([
+        return controllerClocksMs.length < MIN_CONTROLLER_CLOCKS ? undefined : tryComputeWallClockSpanMs([
             computeDowntimeMs(earlier, report),
-            ...witnessedMs.map(ms => ms - report.uptimeMs),
+            ...controllerClocksMs.map(ms => ms - report.uptimeMs),
             ...otherDowntimes.map(([, { ms }]) => ms),
         ]);
     }
--- a/src/domain/readingQueue.ts
+++ b/src/domain/prefillQueue.ts
@@ -14,13 +14,13 @@
 }
 
 /** Parameters of the prefill speed estimate. */
-export interface ReadingSpeedOptions {
+export interface PrefillSpeedOptions {
     /** Initial estimate, in milliseconds per prompt token. */
-    readonly assumedMsPerToken: number;
+    readonly initialMsPerToken: number;
     /** Prompts with fewer tokens are not sampled: network latency and engine step time dominate. */
-    readonly leastTokens: number;
+    readonly minSampleTokens: number;
     /** Smoothing factor of the moving average. */
-    readonly weight: number;
+    readonly smoothingFactor: number;
 }
 
 /**
@@ -30,31 +30,31 @@
 const MAX_SAMPLE_FACTOR = 3;
 
 /** Estimates the prefill time per token, from prompts that were queued while the engine had no known backlog. */
-export class ReadingSpeed {
-    constructor(private readonly options: ReadingSpeedOptions, private estimate = options.assumedMsPerToken) {}
+export class PrefillSpeed {
+    constructor(private readonly options: PrefillSpeedOptions, private estimate = options.initialMsPerToken) {}
 
     get msPerToken(): number {
         return this.estimate;
     }
 
     /** Adds a sample of a prompt that had no known backlog before it. */
-    observe(tokens: number, ms: number): void {
-        if (tokens >= this.options.leastTokens) {
+    addSample(tokens: number, ms: number): void {
+        if (tokens >= this.options.minSampleTokens) {
             const sample = Math.min(ms / tokens, this.estimate * MAX_SAMPLE_FACTOR);
-            this.estimate += (sample - this.estimate) * this.options.weight;
+            this.estimate += (sample - this.estimate) * this.options.smoothingFactor;
         }
     }
 }
 
 /** Prompts queued at one engine, including those reported by other routers. */
-export class ReadingQueue {
+export class PrefillQueue {
     /** Estimated time at which all known prompts are processed. */
     private prefillEndsAt = 0;
     private cumulativeTokens = 0;
     /** Tokens of prompts sent by this router whose answers have not started. */
     private pendingTokens = 0;
 
-    constructor(private readonly speed: ReadingSpeed) {}
+    constructor(private readonly speed: PrefillSpeed) {}
 
     /** Estimated time to process the queued prompts, in milliseconds. */
     getBacklogMs(now: number): number {
@@ -65,24 +65,24 @@
     /** Adds a prompt that this router sent. */
     add(tokens: number, now: number): QueuedPrompt {
         const estimatedWaitMs = this.getBacklogMs(now);
-        this.addOther(tokens, now);
+        this.addRemote(tokens, now);
         this.pendingTokens += tokens;
         return { tokens, addedAt: now, estimatedWaitMs, cumulativeTokens: this.cumulativeTokens };
     }
 
     /** Adds a prompt that another router sent. */
-    addOther(tokens: number, now: number): void {
+    addRemote(tokens: number, now: number): void {
         this.prefillEndsAt = Math.max(now, this.prefillEndsAt) + tokens * this.speed.msPerToken;
         this.cumulativeTokens += tokens;
     }
 
     /** Records that the answer to a prompt started, which implies that all earlier prompts have been processed. */
-    recordRead(prompt: QueuedPrompt, now: number): void {
+    recordAnswerStart(prompt: QueuedPrompt, now: number): void {
         this.pendingTokens -= prompt.tokens;
         const tokensAfter = this.cumulativeTokens - prompt.cumulativeTokens;
         this.prefillEndsAt = Math.min(this.prefillEndsAt, now + tokensAfter * this.speed.msPerToken);
         if (prompt.estimatedWaitMs === 0) {
-            this.speed.observe(prompt.tokens, now - prompt.addedAt);
+            this.speed.addSample(prompt.tokens, now - prompt.addedAt);
         }
     }
 
--- a/src/domain/prepaidBook.ts
+++ b/src/domain/prepaidLedger.ts
@@ -6,7 +6,7 @@
  * When a router ends without a final report, tokens beyond that limit return to the account.
  */
 import type { PrepaidReportCommand } from "./bundleCommands.js";
-import { computeMostSpent, createReportBound, type ReportBound, type ReportTime } from "./reportBound.js";
+import { computeMaxCommitted, createReportBound, type ReportBound, type ReportTime } from "./reportBound.js";
 
 /** One router's share of one account, in tokens. */
 interface Grant {
@@ -109,7 +109,7 @@
 const MAX_CHALLENGERS = 20;
 
 /** State machine that changes only by replicated commands, so that all replicas stay identical. */
-export class PrepaidBook {
+export class PrepaidLedger {
     private readonly accounts = new Map<string, Account>();
     private readonly grantees = new Map<string, Grantee>();
     private readonly endedIncarnations = new Set<string>();
@@ -141,7 +141,7 @@
     }
 
     /** Returns the reports that limit what an earlier incarnation of the router spent, if it still holds grants. */
-    tryGetPredecessor(router: string, incarnation: string): PredecessorReports | undefined {
+    tryGetPredecessorReports(router: string, incarnation: string): PredecessorReports | undefined {
         const known = this.grantees.get(router);
         return known === undefined || known.incarnation === incarnation || known.newest === undefined
             ? undefined
@@ -155,7 +155,7 @@
     }
 
     /** Returns the accounts with the smallest free share of their prepaid tokens. */
-    listScarcest(count: number): PrepaidAccountState[] {
+    listMostDepleted(count: number): PrepaidAccountState[] {
         const all = [...this.accounts].map(([account, entry]) => ({ account, ...entry, free: this.getFree(account) }));
         return all.sort((a, b) => a.free / (a.prepaid + 1) - b.free / (b.prepaid + 1)).slice(0, count);
     }
@@ -224,7 +224,7 @@
             if (!this.isConfirmed(known, report)) {
                 return undefined;
             }
-            this.closeGrantee(report.router, name => computeMostSpent(known, name, report.predecessor));
+            this.closeGrantee(report.router, name => computeMaxCommitted(known, name, report.predecessor));
             known.challengers.forEach(incarnation => this.addEndedIncarnation(incarnation));
             this.endedIncarnations.delete(report.incarnation);
         }
--- a/src/domain/rankQueue.ts
+++ b/src/domain/rankQueue.ts
@@ -36,13 +36,13 @@
         }
     }
 
-    getRunning(): number {
+    getRunningCount(): number {
         let sum = 0;
         this.runningByRank.forEach(count => sum += count);
         return sum;
     }
 
-    getWaiting(): number {
+    getWaitingCount(): number {
         return this.waiting.length;
     }
 
@@ -109,7 +109,7 @@
      * Whether a new run of this rank is expected to finish within its deadline. Considering only the wait would fill the queue
      * with runs that are cut off by their deadline and waste the slot.
      */
-    couldEndWithin(deadlineMs: number, rank: number, ageingMs: number, now: number): boolean {
+    canFinishWithin(deadlineMs: number, rank: number, ageingMs: number, now: number): boolean {
         const waitMs = this.estimateWait(rank, ageingMs, now);
         // With a free slot, the run is tried even if the average run time exceeds the deadline.
         return waitMs === 0 || waitMs + this.getAverageRunMs(rank) <= deadlineMs;
@@ -126,7 +126,7 @@
     }
 
     private hasSlotFor(rank: number): boolean {
-        let free = this.slots - this.getRunning();
+        let free = this.slots - this.getRunningCount();
         for (const [other, reserved] of this.reservedSlots) {
             if (other !== rank) {
                 free -= Math.max(0, reserved - (this.runningByRank.get(other) ?? 0));
--- a/src/domain/reportBound.ts
+++ b/src/domain/reportBound.ts
@@ -38,7 +38,7 @@
  * newest one known to have been answered, so the larger bound of the two applies. `elapsed`: time since each report;
  * unbounded if undefined.
  */
-export function computeMostSpent(
+export function computeMaxCommitted(
     bounds: { readonly answered: ReportBound | undefined; readonly newest: ReportBound | undefined; },
     account: string,
     elapsed: PrepaidReportCommand["predecessor"],
--- a/src/domain/requestIndex.ts
+++ b/src/domain/requestIndex.ts
@@ -36,19 +36,19 @@
     }
 
     /** Records the sidecar that a request is dispatched to. */
-    place(requestId: string, digest: string, owner: string, sidecar: string, now: number): void {
+    recordDispatch(requestId: string, digest: string, owner: string, sidecar: string, now: number): void {
         this.setClaim(requestId, { digest, owner, sidecar, updatedAt: now });
     }
 
     /** Releases a claim if `owner` still holds it. */
-    unclaim(requestId: string, owner: string): void {
+    releaseClaim(requestId: string, owner: string): void {
         if (this.claims.get(requestId)?.owner === owner) {
             this.claims.delete(requestId);
         }
     }
 
     /** Releases the undispatched claims of a disconnected router. None of these requests ran. */
-    unclaimUnplaced(ownerPrefix: string): void {
+    releaseUndispatchedClaims(ownerPrefix: string): void {
         for (const [requestId, claim] of this.claims) {
             if (claim.sidecar === undefined && claim.owner.startsWith(ownerPrefix)) {
                 this.claims.delete(requestId);
--- a/src/domain/resultCodes.ts
+++ b/src/domain/resultCodes.ts
@@ -136,11 +136,11 @@
     internal: createCode(5001, "internal", 500, "An internal error."),
 } as const satisfies Record<string, ResultCode>;
 
-export type ResultName = keyof typeof ResultCodes;
+export type ResultCodeName = keyof typeof ResultCodes;
 
 /** A refusal or error as plain data, so that it can be serialized between processes. */
 export interface Refusal {
-    readonly code: ResultName;
+    readonly code: ResultCodeName;
     readonly ran: Ran;
     readonly detail?: string;
     /** Suggested delay before a retry, in milliseconds. */
@@ -148,7 +148,7 @@
 }
 
 /** `ran` defaults to "no"; pass "unknown" wherever the request may have run. */
-export function createRefusal(code: ResultName, detail?: string, ran: Ran = "no", retryAfterMs?: number): Refusal {
+export function createRefusal(code: ResultCodeName, detail?: string, ran: Ran = "no", retryAfterMs?: number): Refusal {
     return {
         code,
         ran,
--- a/src/domain/retryBudget.ts
+++ b/src/domain/retryBudget.ts
@@ -8,7 +8,7 @@
     }
 
     /** Changes the capacity; tokens above it are discarded. */
-    setMost(maxTokens: number): void {
+    setMaxTokens(maxTokens: number): void {
         this.maxTokens = maxTokens;
         this.tokens = Math.min(this.tokens, maxTokens);
     }
--- a/src/domain/sendingTime.ts
+++ b/src/domain/sendingTime.ts
@@ -14,6 +14,6 @@
 /**
  * `remainingMs`: time until the request's deadline. `eventLoopDelayMs`: current delay of the event loop. Milliseconds.
  */
-export function isWorthSending(remainingMs: number, eventLoopDelayMs: number): boolean {
+export function hasTimeToSend(remainingMs: number, eventLoopDelayMs: number): boolean {
     return remainingMs > MIN_SEND_TIME_MS + EVENT_LOOP_TURNS * eventLoopDelayMs;
 }
--- a/src/domain/textChange.ts
+++ b/src/domain/textDelta.ts
@@ -7,18 +7,18 @@
 const position = z.int().min(0);
 
 /** Steps that build the new text: literal text, or a `[start, end]` range copied from the old text. */
-export const textChangeSchema = z.array(z.union([z.string(), z.tuple([position, position])]));
-export type TextChange = z.infer<typeof textChangeSchema>;
+export const textDeltaSchema = z.array(z.union([z.string(), z.tuple([position, position])]));
+export type TextDelta = z.infer<typeof textDeltaSchema>;
 
 /** Segments end at the closing brace of a JSON object or at a line break, and are compared as a whole. */
 const SEGMENT_PATTERN = /[^}\n]*[}\n]|[^}\n]+$/g;
 
 /** Its size is about that of the segments that are not in `before`. */
-export function computeTextChange(before: string, after: string): TextChange {
+export function computeTextDelta(before: string, after: string): TextDelta {
     const segments = before.match(SEGMENT_PATTERN) ?? [];
     const starts = computeSegmentStarts(segments);
     const indexBySegment = new Map(segments.map((segment, i) => [segment, i]));
-    const change: TextChange = [];
+    const change: TextDelta = [];
     // Prefer the segment that follows the last copied one: segments can occur more than once.
     let nextIndex = 0;
     for (const segment of after.match(SEGMENT_PATTERN) ?? []) {
@@ -34,7 +34,7 @@
     return change;
 }
 
-export function applyTextChange(before: string, change: TextChange): string {
+export function applyTextDelta(before: string, change: TextDelta): string {
     return change.map(step => typeof step === "string" ? step : before.slice(...step)).join("");
 }
 
@@ -46,7 +46,7 @@
     });
 }
 
-function appendText(change: TextChange, segment: string): void {
+function appendText(change: TextDelta, segment: string): void {
     const last = change.at(-1);
     if (typeof last === "string") {
         change[change.length - 1] = last + segment;
@@ -56,7 +56,7 @@
     }
 }
 
-function appendRange(change: TextChange, start: number, end: number): void {
+function appendRange(change: TextDelta, start: number, end: number): void {
     const last = change.at(-1);
     if (Array.isArray(last) && last[1] === start) {
         last[1] = end;
--- a/src/domain/tokenHolders.ts
+++ b/src/domain/tokenHolders.ts
@@ -32,7 +32,7 @@
     }
 
     /** Whether every group consists of a single router. */
-    hasOnlyHolders(): boolean {
+    hasOnlySingleRouterGroups(): boolean {
         return this.groups.every(group => group.length === 1);
     }
 
@@ -42,14 +42,14 @@
     }
 
     /** Returns the first reachable router in the group's holder order, or undefined if it is this router. */
-    tryFindNearest(account: string, isReachable: (address: string) => boolean): string | undefined {
+    tryGetReachableHolder(account: string, isReachable: (address: string) => boolean): string | undefined {
         const order = this.getHolderOrder(account);
         const holder = order.find(address => address === this.self.address || isReachable(address));
         return holder === this.self.address ? undefined : holder;
     }
 
     /** Returns the holders of the account in the other groups, in an order that depends on this router. */
-    listOthers(account: string, isReachable: (address: string) => boolean): string[] {
+    listHoldersOfOtherGroups(account: string, isReachable: (address: string) => boolean): string[] {
         const others = this.groups.filter(group => group !== this.ownGroup);
         const holders = others.flatMap(group => {
             const holder = sortByRendezvous(account, group).find(isReachable);
--- a/src/domain/upstreamRests.ts
+++ b/src/domain/upstreamBackoffs.ts
@@ -2,27 +2,27 @@
  * Tracks the backoff that upstreams have requested from this router. An upstream that rejects a request states how long
  * this router should not send to it; later answers to earlier requests do not cancel that.
  */
-import { getLifeKey, type UpstreamLife } from "./upstreamRegistry.js";
+import { getIncarnationKey, type UpstreamIncarnation } from "./upstreamRegistry.js";
 
 /** Maximum backoff in milliseconds, so that an erroneous value cannot exclude an upstream for hours. */
-export const MOST_REST_MS = 300_000;
+export const MAX_BACKOFF_MS = 300_000;
 
-export class UpstreamRests {
+export class UpstreamBackoffs {
     /** End of the backoff, keyed by incarnation: it does not apply after a restart. Monotonic clock, milliseconds. */
     private readonly until = new Map<string, number>();
 
     /** Records a requested backoff; the one that ends last applies. Returns when it ends. */
-    record(upstream: UpstreamLife, backoffMs: number, now: number): number {
-        const key = getLifeKey(upstream);
-        const until = Math.max(now + Math.min(backoffMs, MOST_REST_MS), this.until.get(key) ?? -Infinity);
+    record(upstream: UpstreamIncarnation, backoffMs: number, now: number): number {
+        const key = getIncarnationKey(upstream);
+        const until = Math.max(now + Math.min(backoffMs, MAX_BACKOFF_MS), this.until.get(key) ?? -Infinity);
         this.until.set(key, until);
         return until;
     }
 
     /** Returns when an upstream's backoff ends; -Infinity if it has requested none. */
-    getUntil(upstream: UpstreamLife): number {
+    getUntil(upstream: UpstreamIncarnation): number {
         // Avoids building a key in the common case of no backoff.
-        return this.until.size === 0 ? -Infinity : this.until.get(getLifeKey(upstream)) ?? -Infinity;
+        return this.until.size === 0 ? -Infinity : this.until.get(getIncarnationKey(upstream)) ?? -Infinity;
     }
 
     /** Returns the number of upstreams with a backoff in effect. */
--- a/src/domain/upstreamCandidates.ts
+++ b/src/domain/upstreamCandidates.ts
@@ -4,13 +4,13 @@
  * router's share of the rate allows it.
  */
 import type { BundleService } from "./bundle.js";
+import type { DistributedRateLimiter } from "./distributedRateLimiter.js";
 import type { EvacuatedZones } from "./evacuatedZones.js";
-import type { RateSharing } from "./rateSharing.js";
+import type { UpstreamBackoffs } from "./upstreamBackoffs.js";
 import type { UpstreamRegistration, UpstreamRegistry } from "./upstreamRegistry.js";
-import type { UpstreamRests } from "./upstreamRests.js";
 
 /** Why an upstream that accepts new work is unavailable to this router. */
-export type ClosedCause = "cold" | "limited" | "resting";
+export type UnavailableReason = "cold" | "limited" | "resting";
 
 /** The upstreams available at one time. */
 export interface CandidateList {
@@ -20,12 +20,12 @@
      */
     readonly waitMs: number | undefined;
     /** If none is available: the reason for each upstream that accepts new work, with repetitions. */
-    readonly closed: readonly ClosedCause[];
+    readonly unavailableReasons: readonly UnavailableReason[];
 }
 
 /** Why and until when an upstream is unavailable to this router. Monotonic clock, milliseconds. */
 interface Unavailability {
-    readonly reason: ClosedCause;
+    readonly reason: UnavailableReason;
     /** When the first router may send to it again; Infinity if unknown. */
     readonly availableAt: number;
 }
@@ -35,9 +35,9 @@
     constructor(
         private readonly registry: UpstreamRegistry,
         private readonly zones: EvacuatedZones,
-        private readonly rests: UpstreamRests,
-        private readonly cold: RateSharing,
-        private readonly limits: RateSharing,
+        private readonly rests: UpstreamBackoffs,
+        private readonly cold: DistributedRateLimiter,
+        private readonly limits: DistributedRateLimiter,
     ) {}
 
     /** `maxAgeMs`: time after the last report at which an upstream counts as lost. */
@@ -58,11 +58,11 @@
             }
         }
         if (upstreams.length > 0) {
-            return { upstreams, waitMs: undefined, closed: [] };
+            return { upstreams, waitMs: undefined, unavailableReasons: [] };
         }
         const earliest = Math.min(...unavailabilities.map(({ availableAt }) => availableAt));
         const waitMs = earliest === Infinity ? undefined : Math.ceil(earliest - now);
-        return { upstreams, waitMs, closed: unavailabilities.map(({ reason }) => reason) };
+        return { upstreams, waitMs, unavailableReasons: unavailabilities.map(({ reason }) => reason) };
     }
 
     /** Records a request that is being sent. Returns whether it counts towards a limit that the upstream names. */
@@ -81,8 +81,8 @@
      * Returns whether a request that waited for a connection may still be sent. Meanwhile, the upstream may have asked
      * for a backoff, begun to leave, or named a limit. `isCounted`: whether the request already counts towards a limit.
      */
-    mayStart(upstream: UpstreamRegistration, isCounted: boolean, now: number): boolean {
-        const isLeaving = this.registry.getNewest(upstream).state !== "ready";
+    canSend(upstream: UpstreamRegistration, isCounted: boolean, now: number): boolean {
+        const isLeaving = this.registry.getLatest(upstream).state !== "ready";
         if (isLeaving || this.tryGetBackoff(upstream, now) !== undefined) {
             return false;
         }
--- a/src/domain/upstreamChanges.ts
+++ b/src/domain/upstreamChanges.ts
@@ -14,7 +14,7 @@
 }
 
 /** Changes since a cursor. */
-export interface UpstreamNews {
+export interface UpstreamUpdate {
     readonly cursor: ChangeCursor;
     /** Whether `changed` is the full list, because there was no cursor or its epoch differs. */
     readonly isWhole: boolean;
@@ -39,7 +39,7 @@
     constructor(private readonly registry: UpstreamRegistry, private readonly startId: string) {}
 
     /** Records that an upstream changed and has to be sent to routers. */
-    note(id: string): void {
+    recordChange(id: string): void {
         this.latestNumber += 1;
         this.changeNumbers.set(id, this.latestNumber);
     }
@@ -48,8 +48,8 @@
      * `unheardMs`: time without a report after which an upstream counts as unheard. `now`: monotonic clock,
      * milliseconds.
      */
-    createNews(since: ChangeCursor | undefined, unheardMs: number, now: number): UpstreamNews {
-        this.forgetOld(now);
+    createUpdate(since: ChangeCursor | undefined, unheardMs: number, now: number): UpstreamUpdate {
+        this.evictExpired(now);
         const all = this.registry.list(now);
         const epoch = `${this.startId}.${this.silentEvictions}`;
         const isWhole = since === undefined || since.epoch !== epoch || since.number > this.latestNumber;
@@ -66,8 +66,8 @@
      * Evicts expired upstreams. Evicting a silent one starts a new epoch: a router that receives only changes would
      * take an upstream that is no longer listed as unheard for one that still reports.
      */
-    forgetOld(now: number): void {
-        if (this.registry.forgetOld(now)) {
+    evictExpired(now: number): void {
+        if (this.registry.evictExpired(now)) {
             this.silentEvictions += 1;
         }
         for (const id of this.changeNumbers.keys()) {
--- a/src/domain/upstreamChooser.ts
+++ b/src/domain/upstreamChooser.ts
@@ -81,7 +81,7 @@
     }
 
     /** Excludes an upstream for a period that doubles with each consecutive failure. */
-    avoid(upstream: string, now: number): void {
+    startBackoff(upstream: string, now: number): void {
         const load = this.getLoad(upstream);
         load.backoffUntil = now + Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** load.consecutiveFailures);
         load.consecutiveFailures += 1;
--- a/src/domain/upstreamEndCommands.ts
+++ b/src/domain/upstreamEndCommands.ts
@@ -5,15 +5,15 @@
 export const fingerprintSchema = z.string().regex(/^[0-9a-f]{16}$/);
 
 /** Interrupted requests in one report; exceeds what one upstream runs and queues. */
-export const MOST_BROKEN_REQUESTS = 256;
+export const MAX_INTERRUPTED_REQUESTS = 256;
 
 /** A request that was interrupted when its upstream ended. */
-export const brokenRequestSchema = z.strictObject({
+export const interruptedRequestSchema = z.strictObject({
     fingerprint: fingerprintSchema,
     /** Whether the upstream had begun to answer, which proves that the request was running. */
     hasBegun: z.boolean(),
 });
-export type BrokenRequest = z.infer<typeof brokenRequestSchema>;
+export type InterruptedRequest = z.infer<typeof interruptedRequestSchema>;
 
 /** Identifies an upstream incarnation, see `getLifeKey`. */
 export const lifeKeySchema = z.string().min(1).max(160);
@@ -24,14 +24,14 @@
     life: lifeKeySchema,
     /** Set by the leader: an incarnation that ended at about the same time, so that both ends are attributed to one cause. */
     togetherWith: lifeKeySchema.optional(),
-    requests: z.array(brokenRequestSchema).min(1).max(MOST_BROKEN_REQUESTS),
+    requests: z.array(interruptedRequestSchema).min(1).max(MAX_INTERRUPTED_REQUESTS),
 });
 export type RecordUpstreamEndCommand = z.infer<typeof recordUpstreamEndCommand>;
 
 /** Clears requests that received a complete answer. */
 export const clearRequestsCommand = z.strictObject({
     type: z.literal("clearRequests"),
-    fingerprints: z.array(fingerprintSchema).min(1).max(MOST_BROKEN_REQUESTS),
+    fingerprints: z.array(fingerprintSchema).min(1).max(MAX_INTERRUPTED_REQUESTS),
 });
 export type ClearRequestsCommand = z.infer<typeof clearRequestsCommand>;
 
--- a/src/domain/upstreamEndBook.ts
+++ b/src/domain/upstreamEndStore.ts
@@ -1,12 +1,12 @@
 /** Recent upstream ends and the requests they interrupted, as replicated through the log. */
 import {
     countEndsByMoment,
-    type EndSuspect,
     findSuspects,
     groupByRequest,
     MIN_SUSPECT_MOMENTS,
+    type PoisonSuspect,
     type UpstreamEnd,
-} from "./endSuspects.js";
+} from "./poisonRequests.js";
 import type {
     ClearRequestsCommand,
     ForgetUpstreamEndsCommand,
@@ -35,14 +35,14 @@
     }[];
 }
 
-export class UpstreamEndBook {
+export class UpstreamEndStore {
     /** Keyed by the incarnation of the upstream, oldest first. */
     private ends = new Map<string, RecordedEnd>();
     /** Inverted index from fingerprint to ends, so that applying an entry does not scan all ends. */
     private byRequest = new Map<string, RecordedEnd[]>();
     private lastMoment = 0;
     private lastIndex = 0;
-    private suspects: readonly EndSuspect[] = [];
+    private suspects: readonly PoisonSuspect[] = [];
 
     applyRecord({ life, togetherWith, requests }: RecordUpstreamEndCommand, index: number): void {
         const end = this.ends.get(life) ?? this.addEnd(life, togetherWith, index);
@@ -73,17 +73,17 @@
         return this.lastIndex;
     }
 
-    getSuspects(): readonly EndSuspect[] {
+    getSuspects(): readonly PoisonSuspect[] {
         return this.suspects;
     }
 
     /** Log index of the entry that first recorded the end of `life`; undefined if it is not retained. */
-    tryGetIndex(life: string): number | undefined {
+    getEndIndex(life: string): number | undefined {
         return this.ends.get(life)?.index;
     }
 
     /** Log indexes of the entries that recorded the retained ends, oldest first. */
-    listIndexes(): number[] {
+    listEndIndexes(): number[] {
         return [...this.ends.values()].map(({ index }) => index);
     }
 
--- a/src/domain/upstreamLoad.ts
+++ b/src/domain/upstreamLoad.ts
@@ -6,10 +6,10 @@
  * The chooser weighs this cost against the wait: a cached prefix attracts requests until the wait outweighs it. Since
  * prefill delays the concurrent streams of an engine, long prompts go to upstreams that have little prefill pending.
  */
+import { DecayingRate } from "./decayingRate.js";
 import { chooseByRendezvous } from "./identifiers.js";
-import { MovingRate } from "./movingAverage.js";
-import { type QueuedPrompt, ReadingQueue, ReadingSpeed, type ReadingSpeedOptions } from "./readingQueue.js";
-import { getLifeKey, type UpstreamLife, type UpstreamRegistration } from "./upstreamRegistry.js";
+import { PrefillQueue, PrefillSpeed, type PrefillSpeedOptions, type QueuedPrompt } from "./prefillQueue.js";
+import { getIncarnationKey, type UpstreamIncarnation, type UpstreamRegistration } from "./upstreamRegistry.js";
 
 /** A part of a prompt, which other prompts may share. */
 export interface PromptPart {
@@ -26,15 +26,15 @@
 /** Inputs of a choice other than the request. */
 export interface SelectionContext {
     /** Ids of the upstreams that are excluded. */
-    readonly tried: ReadonlySet<string>;
-    readonly routers: number;
+    readonly excludedIds: ReadonlySet<string>;
+    readonly routerCount: number;
     /** Longest acceptable wait for the first token or between two tokens of an answer. Milliseconds. */
-    readonly longestWaitMs: number;
+    readonly maxWaitMs: number;
 }
 
 /** Weights, limits and half-lives of the choice. */
 export interface UpstreamLoadOptions {
-    readonly readingSpeed: ReadingSpeedOptions;
+    readonly readingSpeed: PrefillSpeedOptions;
     /** Weight of waiting time relative to prefill time. */
     readonly waitWeight: number;
     /** Fraction of the longest acceptable wait that a prefill may take without harm to concurrent streams. */
@@ -69,10 +69,10 @@
 
 interface Load {
     activeRequests: number;
-    readonly speed: ReadingSpeed;
-    readonly prefillQueue: ReadingQueue;
+    readonly speed: PrefillSpeed;
+    readonly prefillQueue: PrefillQueue;
     /** Rate of prefill time beyond the harmless length, in milliseconds per second. */
-    readonly excessPrefillRate: MovingRate;
+    readonly excessPrefillRate: DecayingRate;
     /** Ids of the prompt parts that were sent to the upstream, least recently used first. */
     readonly cachedParts: Set<string>;
     /** Fraction of requests that failed, as of `failureRateAt`. */
@@ -86,11 +86,11 @@
 export interface Placement {
     readonly upstream: UpstreamRegistration;
     /** Prompt tokens that the upstream probably does not have cached. */
-    readonly newTokens: number;
+    readonly uncachedTokens: number;
     /** Prefill time queued before the request. Milliseconds. */
-    readonly aheadMs: number;
+    readonly queuedPrefillMs: number;
     /** Prefill time of the request beyond the length that is harmless to concurrent streams. Milliseconds. */
-    readonly beyondMs: number;
+    readonly excessPrefillMs: number;
 }
 
 /** A request that was sent and whose prefill is pending. */
@@ -114,7 +114,7 @@
         context: SelectionContext,
         now: number,
     ): Placement | undefined {
-        const untried = candidates.filter(candidate => !context.tried.has(candidate.id));
+        const untried = candidates.filter(candidate => !context.excludedIds.has(candidate.id));
         const unpaused = untried.filter(candidate => this.getLoad(candidate).pausedUntil <= now);
         const usable = unpaused.length > 0 ? unpaused : untried;
         const preferred = this.findPreferredByHash(usable, demand);
@@ -144,25 +144,30 @@
         const newTokens = this.countNewTokens(upstream, demand);
         const prefillMs = newTokens * load.speed.msPerToken;
         const beyondMs = Math.max(0, Math.round(prefillMs - this.getMaxHarmlessPrefillMs(context)));
-        return { upstream, newTokens, aheadMs: load.prefillQueue.getBacklogMs(now), beyondMs };
+        return {
+            upstream,
+            uncachedTokens: newTokens,
+            queuedPrefillMs: load.prefillQueue.getBacklogMs(now),
+            excessPrefillMs: beyondMs,
+        };
     }
 
     /** Returns the longest prefill that does not harm concurrent streams. */
     private getMaxHarmlessPrefillMs(context: SelectionContext): number {
-        return context.longestWaitMs * this.options.comfortablePart;
+        return context.maxWaitMs * this.options.comfortablePart;
     }
 
     recordStart(placement: Placement, demand: RequestDemand, now: number): StartedPlacement {
         const load = this.getLoad(placement.upstream);
         load.activeRequests += 1;
-        load.excessPrefillRate.add(placement.beyondMs, now);
+        load.excessPrefillRate.add(placement.excessPrefillMs, now);
         this.addCachedParts(load, demand.parts.map(part => part.id));
-        return { ...placement, prompt: load.prefillQueue.add(placement.newTokens, now) };
+        return { ...placement, prompt: load.prefillQueue.add(placement.uncachedTokens, now) };
     }
 
     /** Records a request that another router sent. */
-    recordOther(
-        upstream: UpstreamLife,
+    recordPeerRequest(
+        upstream: UpstreamIncarnation,
         newTokens: number,
         beyondMs: number,
         parts: readonly string[],
@@ -171,12 +176,12 @@
         const load = this.getLoad(upstream);
         load.excessPrefillRate.add(beyondMs, now);
         this.addCachedParts(load, parts);
-        load.prefillQueue.addOther(newTokens, now);
+        load.prefillQueue.addRemote(newTokens, now);
     }
 
     /** Records that a response has begun, which shows that the prefill is complete. */
     recordFirstByte(placement: StartedPlacement, now: number): void {
-        this.getLoad(placement.upstream).prefillQueue.recordRead(placement.prompt, now);
+        this.getLoad(placement.upstream).prefillQueue.recordAnswerStart(placement.prompt, now);
     }
 
     /** Records that a request ended before its response began. */
@@ -190,7 +195,7 @@
     }
 
     /** Records the outcome of a request. An upstream that is unreachable, full or fails repeatedly is paused. */
-    recordOutcome(upstream: UpstreamLife, outcome: LoadOutcome, now: number): void {
+    recordOutcome(upstream: UpstreamIncarnation, outcome: LoadOutcome, now: number): void {
         const load = this.getLoad(upstream);
         const { failureWeight, pauseMs, maxPauseMs } = this.options;
         if (outcome === "good" || outcome === "failed") {
@@ -219,7 +224,7 @@
     }
 
     /** Evicts upstreams that are not in `known`, the keys of incarnations, and have no active requests. */
-    forgetExcept(known: ReadonlySet<string>): void {
+    retainOnly(known: ReadonlySet<string>): void {
         for (const [key, load] of this.loads) {
             if (!known.has(key) && load.activeRequests === 0) {
                 this.loads.delete(key);
@@ -238,7 +243,7 @@
         const prefillMs = newTokens * load.speed.msPerToken;
         const waitMs = load.prefillQueue.getBacklogMs(now);
         // Assumes that each router sends about as many requests as this one.
-        const activeRequests = load.activeRequests * context.routers;
+        const activeRequests = load.activeRequests * context.routerCount;
         return prefillMs + waitMs * waitWeight
             + this.estimateInterferenceCostMs(prefillMs + waitMs, activeRequests, context)
             + load.excessPrefillRate.getRate(now) * disturbanceWeight
@@ -254,12 +259,12 @@
     private estimateInterferenceCostMs(prefillMs: number, activeRequests: number, context: SelectionContext): number {
         const { beyondWeight, beyondStreamWeight } = this.options;
         const excessMs = Math.max(0, prefillMs - this.getMaxHarmlessPrefillMs(context));
-        const cappedExcessMs = Math.min(excessMs, context.longestWaitMs);
+        const cappedExcessMs = Math.min(excessMs, context.maxWaitMs);
         return cappedExcessMs * (beyondWeight + activeRequests * beyondStreamWeight);
     }
 
     /** Counts the prompt tokens that are not known to be cached. */
-    private countNewTokens(upstream: UpstreamLife, demand: RequestDemand): number {
+    private countNewTokens(upstream: UpstreamIncarnation, demand: RequestDemand): number {
         const { cachedParts } = this.getLoad(upstream);
         let cachedTokens = 0;
         for (const part of demand.parts) {
@@ -298,16 +303,16 @@
             : chooseByRendezvous(shared.id, candidates.map(candidate => candidate.id), 1)[0];
     }
 
-    private getLoad(upstream: UpstreamLife): Load {
-        const key = getLifeKey(upstream);
+    private getLoad(upstream: UpstreamIncarnation): Load {
+        const key = getIncarnationKey(upstream);
         let load = this.loads.get(key);
         if (load === undefined) {
-            const speed = new ReadingSpeed(this.options.readingSpeed, this.computeMedianMsPerToken());
+            const speed = new PrefillSpeed(this.options.readingSpeed, this.computeMedianMsPerToken());
             load = {
                 activeRequests: 0,
                 speed,
-                prefillQueue: new ReadingQueue(speed),
-                excessPrefillRate: new MovingRate(this.options.disturbanceHalfLifeMs),
+                prefillQueue: new PrefillQueue(speed),
+                excessPrefillRate: new DecayingRate(this.options.disturbanceHalfLifeMs),
                 cachedParts: new Set(),
                 failureRate: 0,
                 failureRateAt: 0,
--- a/src/domain/upstreamRegistry.ts
+++ b/src/domain/upstreamRegistry.ts
@@ -55,13 +55,13 @@
 }
 
 /** Identifies one incarnation of an upstream. */
-export type UpstreamLife = Pick<UpstreamRegistration, "id" | "bornAt">;
+export type UpstreamIncarnation = Pick<UpstreamRegistration, "id" | "bornAt">;
 
 /**
  * Returns a key that is unique among the incarnations of all upstreams. State that is kept under it does not outlive
  * the incarnation.
  */
-export function getLifeKey({ id, bornAt }: UpstreamLife): string {
+export function getIncarnationKey({ id, bornAt }: UpstreamIncarnation): string {
     return bornAt === undefined ? id : `${id}@${bornAt}`;
 }
 
@@ -199,7 +199,7 @@
      * Records that a controller received a report at `heardAt` that changed nothing. The upstream reclaims its address
      * if another upstream has claimed it and been silent since.
      */
-    noteHeard(id: string, heardAt: number): void {
+    recordHeard(id: string, heardAt: number): void {
         const entry = this.entries.get(id);
         if (entry !== undefined && entry.registration.state !== "gone") {
             entry.heardAt = Math.max(entry.heardAt, heardAt);
@@ -208,7 +208,7 @@
     }
 
     /** Evicts upstreams that have long been gone or silent. Returns whether a silent one was evicted. */
-    forgetOld(now: number): boolean {
+    evictExpired(now: number): boolean {
         let hasEvictedSilent = false;
         for (const [id, { registration, heardAt }] of this.entries) {
             const retentionMs = registration.state === "gone" ? GONE_RETENTION_MS : SILENT_RETENTION_MS;
@@ -229,7 +229,7 @@
     }
 
     /** Returns an upstream with its age at `now`; undefined if it was evicted or has a newer incarnation. */
-    tryGetHeard(incarnation: UpstreamLife, now: number): HeardRegistration | undefined {
+    tryGetHeard(incarnation: UpstreamIncarnation, now: number): HeardRegistration | undefined {
         const entry = this.tryGetEntry(incarnation);
         return entry === undefined ? undefined : createHeardRegistration(entry, now);
     }
@@ -253,7 +253,7 @@
      */
     recordReplaced(registration: UpstreamRegistration, heardAt: number): UpstreamRegistration | undefined {
         const gone: UpstreamRegistration = {
-            ...this.getNewest(registration),
+            ...this.getLatest(registration),
             state: "gone",
             mayReturn: true,
             isReplaced: true,
@@ -274,7 +274,7 @@
      * Records the limit that an upstream named at `reportedAt`, or its absence. Returns whether the limit changed; a
      * statement older than the known one is ignored.
      */
-    recordLimit(incarnation: UpstreamLife, perSecond: number | undefined, reportedAt: number): boolean {
+    recordLimit(incarnation: UpstreamIncarnation, perSecond: number | undefined, reportedAt: number): boolean {
         const entry = this.tryGetEntry(incarnation);
         if (entry === undefined || reportedAt < entry.limitSaidAt) {
             return false;
@@ -288,7 +288,7 @@
     }
 
     /** Returns the requests per second that an upstream accepts from all routers; undefined if it names no limit. */
-    tryGetLimit(incarnation: UpstreamLife): number | undefined {
+    tryGetLimit(incarnation: UpstreamIncarnation): number | undefined {
         return this.tryGetEntry(incarnation)?.limitPerSecond;
     }
 
@@ -308,12 +308,12 @@
      * Returns when an upstream last reported its limit or the absence of one; -Infinity if it has never named one.
      * Monotonic clock.
      */
-    getLimitSaidAt(incarnation: UpstreamLife): number {
+    getLimitReportedAt(incarnation: UpstreamIncarnation): number {
         return this.tryGetEntry(incarnation)?.limitSaidAt ?? -Infinity;
     }
 
     /** Records that an upstream announced in an answer that it is leaving. Returns whether that was unknown. */
-    recordLeaving(incarnation: UpstreamLife, heardAt: number): boolean {
+    recordLeaving(incarnation: UpstreamIncarnation, heardAt: number): boolean {
         const known = this.tryGetEntry(incarnation)?.registration;
         return known !== undefined && known.state !== "gone"
             && this.record({ ...known, isLeavingSaid: true }, heardAt) === "state";
@@ -323,12 +323,12 @@
      * Returns the latest registration of the same incarnation; `registration` itself if that was evicted or has been
      * superseded.
      */
-    getNewest(registration: UpstreamRegistration): UpstreamRegistration {
+    getLatest(registration: UpstreamRegistration): UpstreamRegistration {
         return this.tryGetEntry(registration)?.registration ?? registration;
     }
 
     /** Returns undefined if the incarnation was evicted or has been superseded. */
-    private tryGetEntry(incarnation: UpstreamLife): Entry | undefined {
+    private tryGetEntry(incarnation: UpstreamIncarnation): Entry | undefined {
         const entry = this.entries.get(incarnation.id);
         return entry !== undefined && entry.registration.bornAt === incarnation.bornAt ? entry : undefined;
     }
--- a/src/domain/upstreamSignals.ts
+++ b/src/domain/upstreamSignals.ts
@@ -10,14 +10,14 @@
     /** It is shutting down and accepts no new work. */
     readonly isLeaving: boolean;
     /** How long this router should not send to it, in milliseconds; undefined if it requests no backoff. */
-    readonly restMs: number | undefined;
+    readonly backoffMs: number | undefined;
     /** Signals that could not be parsed, as NAME=VALUE; they are ignored. */
-    readonly unreadable: readonly string[];
+    readonly unparsed: readonly string[];
 }
 
 export const NO_SIGNALS: UpstreamSignals = {
     limitPerSecond: undefined,
     isLeaving: false,
-    restMs: undefined,
-    unreadable: [],
+    backoffMs: undefined,
+    unparsed: [],
 };
--- a/src/domain/versionRest.ts
+++ b/src/domain/versionCooldown.ts
@@ -13,7 +13,7 @@
 const MIN_COOLDOWN_MS = 10;
 
 /** `applyMs`: time from receiving the version until it took effect. */
-export function computeRestMs(applyMs: number): number {
+export function computeCooldownMs(applyMs: number): number {
     const cooldownMs = Math.min(applyMs * COOLDOWN_FACTOR, MAX_COOLDOWN_MS);
     return cooldownMs < MIN_COOLDOWN_MS ? 0 : cooldownMs;
 }
--- a/src/domain/timeOfDayWatch.ts
+++ b/src/domain/wallClockMonitor.ts
@@ -12,7 +12,7 @@
 /** A step that has persisted for this long is assumed to have corrected the clock. */
 const STEP_ACCEPTED_AFTER_MS = 60_000;
 
-export class TimeOfDayWatch {
+export class WallClockMonitor {
     /** Wall-clock time of the monotonic clock's zero point, as last observed. */
     private monotonicOriginMs: number | undefined;
     private lastStepAt: number | undefined;
@@ -21,12 +21,12 @@
     private lastMissedAt = -Infinity;
 
     /** Restores the accumulated steps observed by an earlier process, in milliseconds. */
-    resume(offsetMs: number): void {
+    restoreOffset(offsetMs: number): void {
         this.offsetMs = offsetMs;
     }
 
     /** Returns the sum of the steps so far in milliseconds, or 0 once they have been reversed. */
-    getAheadMs(): number {
+    getStepOffsetMs(): number {
         return this.offsetMs;
     }
 
@@ -40,7 +40,7 @@
     }
 
     /** Returns when the last forward step was observed, on the monotonic clock; -Infinity if none was. */
-    getMissedAt(wallMs: number, monotonicMs: number): number {
+    getLastMissedAt(wallMs: number, monotonicMs: number): number {
         return this.getMissedMs(wallMs, monotonicMs) > this.missedMs ? monotonicMs : this.lastMissedAt;
     }
 
@@ -48,7 +48,7 @@
     observe(wallMs: number, monotonicMs: number): boolean {
         const originMs = wallMs - monotonicMs;
         const stepMs = originMs - (this.monotonicOriginMs ?? originMs);
-        this.lastMissedAt = this.getMissedAt(wallMs, monotonicMs);
+        this.lastMissedAt = this.getLastMissedAt(wallMs, monotonicMs);
         this.missedMs = this.getMissedMs(wallMs, monotonicMs);
         this.monotonicOriginMs = originMs;
         this.lastStepAt ??= monotonicMs;
@@ -61,7 +61,7 @@
     }
 
     /** Whether the wall clock can be trusted: it has not stepped, or its steps were reversed or have persisted. */
-    isSteady(monotonicMs: number): boolean {
+    isTrusted(monotonicMs: number): boolean {
         return this.offsetMs === 0 || monotonicMs - (this.lastStepAt ?? monotonicMs) > STEP_ACCEPTED_AFTER_MS;
     }
 }
--- a/src/protocol/bundleTransfer.ts
+++ b/src/protocol/bundleTransfer.ts
@@ -8,7 +8,7 @@
 import { MAX_BUNDLE_LENGTH } from "../domain/bundleCommands.js";
 import { type StoredBundle } from "../domain/bundleStore.js";
 import { createRefusal, RefusalError } from "../domain/resultCodes.js";
-import { applyTextChange, computeTextChange, textChangeSchema } from "../domain/textChange.js";
+import { applyTextDelta, computeTextDelta, textDeltaSchema } from "../domain/textDelta.js";
 
 const deflate = promisify(deflateRaw);
 
@@ -31,7 +31,7 @@
 
 /** Makes a bundle ready to be sent to a router that has `base`, or none. */
 export async function encodeBundle(bundle: StoredBundle, base: StoredBundle | undefined): Promise<EncodedBundle> {
-    const content = base === undefined ? bundle.text : JSON.stringify(computeTextChange(base.text, bundle.text));
+    const content = base === undefined ? bundle.text : JSON.stringify(computeTextDelta(base.text, bundle.text));
     const packed = (await deflate(content)).toString("base64");
     return { revision: bundle.revision, base: base?.revision, length: bundle.text.length, packed };
 }
@@ -55,7 +55,7 @@
     if (held?.revision !== base) {
         throw createMalformed(`a change from revision ${base}`);
     }
-    return applyTextChange(held.text, textChangeSchema.parse(JSON.parse(content)));
+    return applyTextDelta(held.text, textDeltaSchema.parse(JSON.parse(content)));
 }
 
 function createMalformed(detail: string): RefusalError {
--- a/src/protocol/fleetMethods.ts
+++ b/src/protocol/fleetMethods.ts
@@ -1,16 +1,16 @@
 /** What routers and controllers say to each other where an operator declares bundles and upstreams register themselves. */
 import * as z from "zod";
 import { type PrepaidReportCommand, prepaidReportCommand } from "../domain/bundleCommands.js";
-import type { EvacuationList } from "../domain/evacuationBook.js";
 import { MAX_ZONE_LENGTH } from "../domain/evacuationCommands.js";
-import type { PrepaidResult } from "../domain/prepaidBook.js";
+import type { EvacuationList } from "../domain/evacuationStore.js";
+import type { PrepaidResult } from "../domain/prepaidLedger.js";
 import type { RouterContact } from "../domain/routerGroups.js";
-import type { ChangeCursor, UpstreamNews } from "../domain/upstreamChanges.js";
+import type { ChangeCursor, UpstreamUpdate } from "../domain/upstreamChanges.js";
 import {
-    brokenRequestSchema,
     fingerprintSchema,
+    interruptedRequestSchema,
     lifeKeySchema,
-    MOST_BROKEN_REQUESTS,
+    MAX_INTERRUPTED_REQUESTS,
 } from "../domain/upstreamEndCommands.js";
 import type { HeardRegistration, UpstreamRegistration } from "../domain/upstreamRegistry.js";
 import { createPeerMethod } from "../ports/peer.js";
@@ -65,7 +65,7 @@
     /** All that are known, for routers of versions before, which ask for no news; empty otherwise. */
     readonly upstreams: readonly HeardRegistration[];
     /** Left out where the router did not want any, and by controllers of versions before. */
-    readonly news?: UpstreamNews | undefined;
+    readonly news?: UpstreamUpdate | undefined;
     /** Addresses of the controllers that the log names. */
     readonly controllers: readonly string[];
     /** The routers that follow this controller; left out where they are the same as when the router was last told. */
@@ -132,10 +132,10 @@
         life: lifeKeySchema,
         /** How long before this report the first of them broke off, in milliseconds. */
         brokenAgoMs: count,
-        requests: z.array(brokenRequestSchema).min(1).max(MOST_BROKEN_REQUESTS),
+        requests: z.array(interruptedRequestSchema).min(1).max(MAX_INTERRUPTED_REQUESTS),
     })).max(MOST_REPORTED_ENDS),
     /** Requests under suspicion that were answered whole. */
-    cleared: z.array(fingerprintSchema).max(MOST_BROKEN_REQUESTS),
+    cleared: z.array(fingerprintSchema).max(MAX_INTERRUPTED_REQUESTS),
 });
 export type EndReport = z.infer<typeof endReportSchema>;
 export type ReportedEnd = EndReport["ends"][number];
--- a/src/protocol/ledgerMethods.ts
+++ b/src/protocol/ledgerMethods.ts
@@ -1,6 +1,6 @@
 /** How routers and sidecars speak with a ledger. All amounts in tokens. */
 import * as z from "zod";
-import { type BillRecord, type UsageRecord, usageRecord } from "../domain/billBook.js";
+import { type BillRecord, type UsageRecord, usageRecord } from "../domain/billStore.js";
 import { type TopUpRequest, topUpRequest } from "../domain/objects.js";
 import { createPeerMethod } from "../ports/peer.js";
 
--- a/src/protocol/runMethods.ts
+++ b/src/protocol/runMethods.ts
@@ -1,6 +1,6 @@
 /** How routers speak with sidecars: runs, the request index, closed grants, witnesses of top-ups, orders. */
 import * as z from "zod";
-import type { UsageRecord } from "../domain/billBook.js";
+import type { UsageRecord } from "../domain/billStore.js";
 import type { Refusal } from "../domain/resultCodes.js";
 import { createPeerMethod } from "../ports/peer.js";
 
--- a/src/replay/replayTrace.ts
+++ b/src/replay/replayTrace.ts
@@ -4,7 +4,7 @@
 import { callOperatorApi, type OperatorTarget } from "../cli/operatorClient.js";
 import type { FleetStatus } from "../daemons/controller/statusService.js";
 import { countPromptTokens, getStandInAnswer } from "../daemons/standIn/standInAnswers.js";
-import type { BillRecord } from "../domain/billBook.js";
+import type { BillRecord } from "../domain/billStore.js";
 import { askChatAt, type CallResult } from "./chatCaller.js";
 import type { TraceLine, TraceRequest } from "./trace.js";
 import { TrueState } from "./trueState.js";
--- a/src/wiring.ts
+++ b/src/wiring.ts
@@ -25,7 +25,7 @@
 import { SidecarDaemon } from "./daemons/sidecar/sidecarDaemon.js";
 import { UsageOutbox } from "./daemons/usageOutbox.js";
 import { ConfigView } from "./domain/configView.js";
-import { IntentBook } from "./domain/intentBook.js";
+import { IntentStore } from "./domain/intentStore.js";
 import { UpstreamChooser } from "./domain/upstreamChooser.js";
 import type { Log } from "./ports/log.js";
 import { type MembershipSource, NoMembership } from "./ports/membership.js";
@@ -70,7 +70,7 @@
         events: log,
         metrics,
     };
-    const intents = new IntentBook(journals.intents.journal, journals.intents.records as never);
+    const intents = new IntentStore(journals.intents.journal, journals.intents.records as never);
     const audit = new AuditTrail(journals.audit, log);
     const daemon = new ControllerDaemon(context, handlers, intents, audit, {
         ...settings,
--- a/test/consensus/replicatedLog.test.ts
+++ b/test/consensus/replicatedLog.test.ts
@@ -6,7 +6,7 @@
 import t from "tap";
 import { LogStorage } from "../../src/consensus/logStorage.js";
 import { ReplicatedLog } from "../../src/consensus/replicatedLog.js";
-import { checkBudgetConservation } from "../../src/domain/budgetBook.js";
+import { isBudgetConserved } from "../../src/domain/budgetStore.js";
 import { formatCanonicalJson } from "../../src/domain/identifiers.js";
 import { type Clock, SystemClock } from "../../src/ports/clock.js";
 import { Journal } from "../../src/ports/journal.js";
@@ -169,7 +169,7 @@
         const { budgets } = [...world.replicas.values()][0]!.state;
         const missing = [...accepted.keys()].filter(operationId => budgets.tryGetTopUp(operationId) === undefined);
         t.same(missing, [], `of ${accepted.size} accepted`);
-        t.ok(checkBudgetConservation(budgets.tryGetBudget("b")!));
+        t.ok(isBudgetConserved(budgets.tryGetBudget("b")!));
         await world.stopAll();
     });
 }
--- a/test/daemons/bundleFetch.test.ts
+++ b/test/daemons/bundleFetch.test.ts
@@ -16,7 +16,7 @@
 const NO_LOG: Log = { info: () => undefined, warn: () => undefined, error: () => undefined };
 const NO_BUNDLE: FeedListener & BundleListener = {
     receiveFollowAnswer: () => undefined,
-    receiveUpstreamNews: () => undefined,
+    receiveUpstreamUpdate: () => undefined,
     receiveBundle: () => undefined,
 };
 const options: ControllerFeedsOptions = {
--- a/test/daemons/ledgerRefill.test.ts
+++ b/test/daemons/ledgerRefill.test.ts
@@ -11,7 +11,7 @@
 import t from "tap";
 import type { ControllerContext } from "../../src/daemons/controller/fleetView.js";
 import { LedgerService } from "../../src/daemons/controller/ledgerService.js";
-import { BudgetBook, type BudgetResult } from "../../src/domain/budgetBook.js";
+import { type BudgetResult, BudgetStore } from "../../src/domain/budgetStore.js";
 import type { Command } from "../../src/domain/commands.js";
 import { Ledger, ShareSource } from "../../src/domain/ledger.js";
 import { getRefusal } from "../../src/domain/resultCodes.js";
@@ -19,7 +19,7 @@
 import { NoMetrics } from "../../src/ports/metrics.js";
 import { Peer, PeerHandlers, type PeerIdentity, type PeerMethod, PeerNetwork } from "../../src/ports/peer.js";
 import { drawMethod } from "../../src/protocol/ledgerMethods.js";
-import { applyCommand } from "../tools/escrowReplica.js";
+import { applyBudgetCommand } from "../tools/budgetReplica.js";
 import { FakeClock, FakeJournal } from "../tools/fakes.js";
 
 const BUDGET = "b";
@@ -61,7 +61,7 @@
 
 /** Ledgers over one book, whose commands are applied a turn after they are proposed. */
 class Ledgers {
-    readonly book = new BudgetBook();
+    readonly book = new BudgetStore();
     /** Called before a command is applied. */
     onPropose: (command: Command) => void = () => undefined;
     private readonly handlers = new Map<string, PeerHandlers>();
@@ -115,7 +115,7 @@
             ? this.book.applyAllot(command)
             : { type: "accepted", tokens: 0 } as const;
         if (command.type !== "allot") {
-            applyCommand(this.book, command);
+            applyBudgetCommand(this.book, command);
         }
         this.index += 1;
         return { index: this.index, result };
@@ -132,7 +132,7 @@
                 tokens,
                 home: "z",
                 ledger: `${name}#1`,
-            } as Parameters<BudgetBook["applyCreditTopUp"]>[0],
+            } as Parameters<BudgetStore["applyCreditTopUp"]>[0],
         );
     }
 
--- a/test/daemons/placementSharer.test.ts
+++ b/test/daemons/placementSharer.test.ts
@@ -54,9 +54,12 @@
     const { sharer, network, logged } = createSharer();
     sharer.setOthers([{ address: "r2", zone: "z" }, { address: "r3", zone: "z" }]);
     await settlePromises();
-    sharer.share({ upstream: UPSTREAM, newTokens: 900, aheadMs: 0, beyondMs: 0 }, [{ id: "p", tokens: 900 }]);
-    sharer.share({ upstream: UPSTREAM, newTokens: 700, aheadMs: 0, beyondMs: 3 }, []);
-    sharer.share({ upstream: UPSTREAM, newTokens: LEAST_TOKENS - 1, aheadMs: 0, beyondMs: 0 }, []);
+    sharer.share({ upstream: UPSTREAM, uncachedTokens: 900, queuedPrefillMs: 0, excessPrefillMs: 0 }, [{
+        id: "p",
+        tokens: 900,
+    }]);
+    sharer.share({ upstream: UPSTREAM, uncachedTokens: 700, queuedPrefillMs: 0, excessPrefillMs: 3 }, []);
+    sharer.share({ upstream: UPSTREAM, uncachedTokens: LEAST_TOKENS - 1, queuedPrefillMs: 0, excessPrefillMs: 0 }, []);
     await settlePromises();
     t.same(network.peer.heard, [{
         passTo: "group",
--- a/test/daemons/placementSpread.test.ts
+++ b/test/daemons/placementSpread.test.ts
@@ -4,7 +4,7 @@
 import { RouterLinks } from "../../src/daemons/directRouter/routerLinks.js";
 import type { RouterContact } from "../../src/domain/routerGroups.js";
 import type { UpstreamLoad } from "../../src/domain/upstreamLoad.js";
-import type { UpstreamLife } from "../../src/domain/upstreamRegistry.js";
+import type { UpstreamIncarnation } from "../../src/domain/upstreamRegistry.js";
 import type { Log } from "../../src/ports/log.js";
 import { Peer, PeerHandlers, type PeerIdentity, type PeerMethod, PeerNetwork } from "../../src/ports/peer.js";
 import { FakeClock, settlePromises } from "../tools/fakes.js";
@@ -71,7 +71,7 @@
         for (const self of contacts) {
             const heard: string[] = [];
             const load = {
-                recordOther: (upstream: UpstreamLife) => heard.push(upstream.id),
+                recordOther: (upstream: UpstreamIncarnation) => heard.push(upstream.id),
             } as unknown as UpstreamLoad;
             const options = { gatherMs: 1, relayGatherMs: 1, leastTokens: 1 };
             const links = new RouterLinks(new FleetNetwork(this), NO_LOG);
@@ -103,7 +103,10 @@
                 state: "ready",
                 sequence: 1,
             } as const;
-            this.sharers.get(address)!.share({ upstream, newTokens: 900, aheadMs: 0, beyondMs: 0 }, []);
+            this.sharers.get(address)!.share(
+                { upstream, uncachedTokens: 900, queuedPrefillMs: 0, excessPrefillMs: 0 },
+                [],
+            );
         }
         await this.settle();
     }
--- a/test/daemons/prepaidBorrower.test.ts
+++ b/test/daemons/prepaidBorrower.test.ts
@@ -2,12 +2,12 @@
 import t from "tap";
 import { PrepaidBorrower } from "../../src/daemons/directRouter/prepaidBorrower.js";
 import { RouterLinks } from "../../src/daemons/directRouter/routerLinks.js";
-import { PrepaidPurse } from "../../src/domain/prepaidPurse.js";
+import { LocalTokenBudget } from "../../src/domain/localTokenBudget.js";
 import { TokenHolders } from "../../src/domain/tokenHolders.js";
 import type { Log } from "../../src/ports/log.js";
 import { Peer, type PeerIdentity, type PeerMethod, PeerNetwork } from "../../src/ports/peer.js";
 import { settlePromises } from "../tools/fakes.js";
-import { testPurseOptions } from "../tools/prepaidWorld.js";
+import { testTokenBudgetOptions } from "../tools/prepaidSimulation.js";
 
 const NO_LOG: Log = { info: () => undefined, warn: () => undefined, error: () => undefined };
 const NEVER_MS = 600_000;
@@ -71,13 +71,13 @@
 function createBorrower(callTimeoutMs = NEVER_MS) {
     const holders = createHolders(CONTACTS.find(self => !createHolders(self).isHolder(ACCOUNT))!);
     const network = new LendingNetwork();
-    const purse = new PrepaidPurse("r", "i", testPurseOptions);
+    const purse = new LocalTokenBudget("r", "i", testTokenBudgetOptions);
     purse.setLimits([{ account: ACCOUNT, tokens: 100_000 }]);
     purse.setHoldings(() => ({ isHolder: false, holders: 1 }));
     const links = new RouterLinks(network, NO_LOG);
     const options = { maxAsked: 6, callTimeoutMs, lateAnswerMs: NEVER_MS, avoidMs: NEVER_MS, returnPeriodMs: NEVER_MS };
     const borrower = new PrepaidBorrower(purse, holders, network, links, NO_LOG, options);
-    return { borrower, purse, network, links, holder: holders.tryFindNearest(ACCOUNT, () => true)! };
+    return { borrower, purse, network, links, holder: holders.tryGetReachableHolder(ACCOUNT, () => true)! };
 }
 
 function createHolders(self: { address: string; zone: string; }): TokenHolders {
@@ -102,10 +102,10 @@
     const { borrower, purse, network, links, holder } = createBorrower(1);
     network.late.add(holder);
     t.equal(await borrower.borrowFromHolder(ACCOUNT, 3_000, RANK), false);
-    t.same(purse.listLeftOfLoans(), []);
+    t.same(purse.listUnusedLoans(), []);
     network.answerLate.forEach(answer => answer());
     await settlePromises();
-    t.same(purse.listLeftOfLoans(), [{ account: ACCOUNT, tokens: 3_000 }]);
+    t.same(purse.listUnusedLoans(), [{ account: ACCOUNT, tokens: 3_000 }]);
     links.keep([holder]);
     await settlePromises();
     borrower.returnLoans();
@@ -116,12 +116,12 @@
     const { borrower, purse, network, links, holder } = createBorrower();
     await borrower.borrowFromHolder(ACCOUNT, 3_000, RANK);
     borrower.returnLoans();
-    t.same(purse.listLeftOfLoans(), [{ account: ACCOUNT, tokens: 3_000 }], "not connected yet");
+    t.same(purse.listUnusedLoans(), [{ account: ACCOUNT, tokens: 3_000 }], "not connected yet");
     await settlePromises();
     borrower.returnLoans();
     borrower.returnLoans();
     t.same(network.peers.get(holder)!.told, [{ accounts: [{ account: ACCOUNT, tokens: 3_000 }] }]);
-    t.same(purse.listLeftOfLoans(), []);
+    t.same(purse.listUnusedLoans(), []);
     t.equal(links.isReachable(holder), true);
 });
 
--- a/test/daemons/prepaidReporter.test.ts
+++ b/test/daemons/prepaidReporter.test.ts
@@ -2,13 +2,13 @@
 import t from "tap";
 import { PrepaidReporter } from "../../src/daemons/directRouter/prepaidReporter.js";
 import type { PrepaidReportCommand } from "../../src/domain/bundleCommands.js";
-import type { PrepaidResult } from "../../src/domain/prepaidBook.js";
-import { PrepaidPurse } from "../../src/domain/prepaidPurse.js";
+import { LocalTokenBudget } from "../../src/domain/localTokenBudget.js";
+import type { PrepaidResult } from "../../src/domain/prepaidLedger.js";
 import { SystemClock } from "../../src/ports/clock.js";
 import type { Log } from "../../src/ports/log.js";
 import { type Peer, type PeerMethod, PeerNetwork } from "../../src/ports/peer.js";
 import { settlePromises } from "../tools/fakes.js";
-import { testPurseOptions } from "../tools/prepaidWorld.js";
+import { testTokenBudgetOptions } from "../tools/prepaidSimulation.js";
 import { waitUntil } from "../tools/waiting.js";
 
 /** Longer than any test: a report that comes was asked for. */
@@ -53,7 +53,7 @@
 
 void t.test("a request that begins to wait while a report is under way is in the next one, at once", async t => {
     const network = new HeldNetwork();
-    const purse = new PrepaidPurse("r1", "i1", testPurseOptions);
+    const purse = new LocalTokenBudget("r1", "i1", testTokenBudgetOptions);
     purse.setLimits([{ account: "a", tokens: PREPAID }]);
     const options = { ...OPTIONS, closingTimeoutMs: 500 };
     const reporter = new PrepaidReporter(purse, network, new SystemClock(), NO_LOG, () => ["c1"], options);
@@ -82,7 +82,7 @@
 
 void t.test("a router that reaches no controller does not hold up its planned stop", async t => {
     const network = new HeldNetwork();
-    const purse = new PrepaidPurse("r1", "i1", testPurseOptions);
+    const purse = new LocalTokenBudget("r1", "i1", testTokenBudgetOptions);
     purse.setLimits([{ account: "a", tokens: PREPAID }]);
     const options = { ...OPTIONS, closingTimeoutMs: 20 };
     const reporter = new PrepaidReporter(purse, network, new SystemClock(), NO_LOG, () => ["c1", "c2"], options);
--- a/test/daemons/upstreamEndWatch.test.ts
+++ b/test/daemons/upstreamEndWatch.test.ts
@@ -3,7 +3,7 @@
 import t from "tap";
 import { isListening } from "../../src/adapters/listeningCheck.js";
 import { type EndedUpstream, UpstreamEndWatch } from "../../src/daemons/directRouter/upstreamEndWatch.js";
-import type { BrokenRequest } from "../../src/domain/upstreamEndCommands.js";
+import type { InterruptedRequest } from "../../src/domain/upstreamEndCommands.js";
 import type { UpstreamRegistration } from "../../src/domain/upstreamRegistry.js";
 import { DirectUpstreams, type UpstreamExchange } from "../../src/ports/directUpstream.js";
 import { NoLog } from "../../src/ports/log.js";
@@ -19,7 +19,7 @@
     state: "ready",
     sequence: 1,
 };
-const REQUESTS: BrokenRequest[] = [
+const REQUESTS: InterruptedRequest[] = [
     { fingerprint: "aa", hasBegun: true },
     { fingerprint: "bb", hasBegun: false },
 ];
