--- a/test/daemons/upstreamNews.test.ts
+++ b/test/daemons/upstreamNews.test.ts
@@ -5,8 +5,8 @@
  */
 import t from "tap";
 import { Followers } from "../../src/daemons/bundleController/followers.js";
-import { FollowedUpstreams } from "../../src/daemons/directRouter/followedUpstreams.js";
-import { UpstreamChanges, type UpstreamNews } from "../../src/domain/upstreamChanges.js";
+import { UpstreamUpdateTracker } from "../../src/daemons/directRouter/followedUpstreams.js";
+import { UpstreamChanges, type UpstreamUpdate } from "../../src/domain/upstreamChanges.js";
 import { type UpstreamRegistration, UpstreamRegistry } from "../../src/domain/upstreamRegistry.js";
 import { Peer, type PeerIdentity } from "../../src/ports/peer.js";
 
@@ -33,17 +33,17 @@
     const changes = new UpstreamChanges(registry, epoch);
     const report = (registration: UpstreamRegistration, now: number) => {
         if (registry.record(registration, now) === "state") {
-            changes.note(registration.id);
+            changes.recordChange(registration.id);
         }
     };
     return { registry, changes, report };
 }
 
 /** What a router makes of news. */
-function take(router: UpstreamRegistry, followed: FollowedUpstreams, news: UpstreamNews, now: number): void {
-    const heard = followed.take(news);
+function take(router: UpstreamRegistry, followed: UpstreamUpdateTracker, news: UpstreamUpdate, now: number): void {
+    const heard = followed.applyUpdate(news);
     news.changed.forEach(({ registration, ageMs }) => router.record(registration, now - ageMs));
-    heard.forEach(({ id, ageMs }) => router.noteHeard(id, now - ageMs));
+    heard.forEach(({ id, ageMs }) => router.recordHeard(id, now - ageMs));
 }
 
 class FakePeer extends Peer {
@@ -70,7 +70,7 @@
     for (let i = 0; i < UPSTREAMS; i++) {
         report(createRegistration(String(i)), 0);
     }
-    const whole = changes.createNews(undefined, UNHEARD_MS, 0);
+    const whole = changes.createUpdate(undefined, UNHEARD_MS, 0);
     t.equal(whole.changed.length, UPSTREAMS);
     for (let i = 0; i < UPSTREAMS; i++) {
         report(createRegistration(String(i), { sequence: 2 }), 900);
@@ -78,10 +78,10 @@
     for (let i = 0; i < CHANGES_A_SECOND; i++) {
         report(createRegistration(String(i), { sequence: 3, state: "leaving" }), 950);
     }
-    const news = changes.createNews(whole.cursor, UNHEARD_MS, 1_000);
+    const news = changes.createUpdate(whole.cursor, UNHEARD_MS, 1_000);
     t.same(news.changed.map(({ registration }) => registration.state), Array(CHANGES_A_SECOND).fill("leaving"));
     t.ok(countBytes(news) < MOST_BYTES, `${countBytes(news)} bytes`);
-    t.equal(countBytes(changes.createNews(news.cursor, UNHEARD_MS, 1_000).changed), 2, "nothing twice");
+    t.equal(countBytes(changes.createUpdate(news.cursor, UNHEARD_MS, 1_000).changed), 2, "nothing twice");
     t.end();
 });
 
@@ -101,12 +101,12 @@
 void t.test("an upstream that is heard stays, and one that is silent is lost, though no report of either is told", t => {
     const { changes, report } = createWorld();
     const router = new UpstreamRegistry();
-    const followed = new FollowedUpstreams(UNHEARD_MS);
+    const followed = new UpstreamUpdateTracker(UNHEARD_MS);
     report(createRegistration("1"), 0);
     report(createRegistration("2"), 0);
     for (let now = 0; now <= 12_000; now += 1_000) {
         report(createRegistration("1", { sequence: 2 + now }), now);
-        take(router, followed, changes.createNews(followed.tryGetCursor(), UNHEARD_MS, now), now);
+        take(router, followed, changes.createUpdate(followed.tryGetCursor(), UNHEARD_MS, now), now);
         const ids = router.getReady("s", now, SILENCE_MS).map(({ id }) => id);
         t.same(ids, now <= SILENCE_MS ? ["1", "2"] : ["1"], `after ${now} ms`);
     }
@@ -116,12 +116,12 @@
 void t.test("one that is silent for so long that the controller forgets it does not come back", t => {
     const { changes, report } = createWorld();
     const router = new UpstreamRegistry();
-    const followed = new FollowedUpstreams(UNHEARD_MS);
+    const followed = new UpstreamUpdateTracker(UNHEARD_MS);
     report(createRegistration("1"), 0);
     report(createRegistration("2"), 0);
     for (let now = 0; now <= 620_000; now += 1_000) {
         report(createRegistration("1", { sequence: 2 + now }), now);
-        take(router, followed, changes.createNews(followed.tryGetCursor(), UNHEARD_MS, now), now);
+        take(router, followed, changes.createUpdate(followed.tryGetCursor(), UNHEARD_MS, now), now);
     }
     t.same(router.getReady("s", 620_000, SILENCE_MS).map(({ id }) => id), ["1"]);
     t.end();
@@ -130,15 +130,15 @@
 void t.test("a router that missed hundreds of changes catches up with one answer", t => {
     const { changes, report } = createWorld();
     const router = new UpstreamRegistry();
-    const followed = new FollowedUpstreams(UNHEARD_MS);
+    const followed = new UpstreamUpdateTracker(UNHEARD_MS);
     for (let i = 0; i < 400; i++) {
         report(createRegistration(String(i)), 0);
     }
-    take(router, followed, changes.createNews(undefined, UNHEARD_MS, 0), 0);
+    take(router, followed, changes.createUpdate(undefined, UNHEARD_MS, 0), 0);
     for (let i = 0; i < 400; i += 2) {
         report(createRegistration(String(i), { sequence: 5, state: "gone" }), 100);
     }
-    take(router, followed, changes.createNews(followed.tryGetCursor(), UNHEARD_MS, 200), 200);
+    take(router, followed, changes.createUpdate(followed.tryGetCursor(), UNHEARD_MS, 200), 200);
     t.equal(router.getReady("s", 200, SILENCE_MS).length, 200);
     t.end();
 });
@@ -146,14 +146,14 @@
 void t.test("a controller that starts anew tells all that it knows, and speaks of nothing else", t => {
     const first = createWorld();
     const router = new UpstreamRegistry();
-    const followed = new FollowedUpstreams(UNHEARD_MS);
+    const followed = new UpstreamUpdateTracker(UNHEARD_MS);
     first.report(createRegistration("1"), 0);
     first.report(createRegistration("2"), 0);
-    take(router, followed, first.changes.createNews(undefined, UNHEARD_MS, 0), 0);
+    take(router, followed, first.changes.createUpdate(undefined, UNHEARD_MS, 0), 0);
     const second = createWorld("e2");
     for (let now = 1_000; now <= 7_000; now += 1_000) {
         second.report(createRegistration("1", { sequence: 10 + now }), now);
-        const news = second.changes.createNews(followed.tryGetCursor(), UNHEARD_MS, now);
+        const news = second.changes.createUpdate(followed.tryGetCursor(), UNHEARD_MS, now);
         t.equal(news.isWhole, now === 1_000);
         take(router, followed, news, now);
     }
@@ -164,9 +164,9 @@
 void t.test("one that was met by another at its address is out until it reports again", t => {
     const { registry, changes, report } = createWorld();
     const router = new UpstreamRegistry();
-    const followed = new FollowedUpstreams(UNHEARD_MS);
+    const followed = new UpstreamUpdateTracker(UNHEARD_MS);
     report(createRegistration("1"), 0);
-    take(router, followed, changes.createNews(undefined, UNHEARD_MS, 0), 0);
+    take(router, followed, changes.createUpdate(undefined, UNHEARD_MS, 0), 0);
     report(createRegistration("1", { sequence: 7 }), 500);
     const gone = router.recordReplaced(createRegistration("1"), 600)!;
     t.equal(registry.record(gone, 600), "state", "though it has reported more than the router knows");
@@ -182,7 +182,7 @@
     router.record(createRegistration("old", { address: "a:1" }), 0);
     router.record(createRegistration("new", { address: "a:1" }), 1_000);
     router.record(createRegistration("old", { address: "a:1", sequence: 2, state: "leaving" }), 5_000);
-    router.noteHeard("new", 8_500);
+    router.recordHeard("new", 8_500);
     t.same(router.getReady("s", 8_500, SILENCE_MS).map(({ id }) => id), ["new"]);
     t.end();
 });
--- a/test/daemons/upstreamTurns.test.ts
+++ b/test/daemons/upstreamTurns.test.ts
@@ -80,7 +80,7 @@
     const network = new CountingNetwork();
     const listener = {
         receiveFollowAnswer: () => undefined,
-        receiveUpstreamNews: () => undefined,
+        receiveUpstreamUpdate: () => undefined,
         receiveBundle: () => undefined,
     };
     const feeds = new ControllerFeeds(network, clock, NO_LOG, listener, {
--- a/test/domain/arrivalClock.test.ts
+++ b/test/domain/arrivalEstimator.test.ts
@@ -1,19 +1,19 @@
 /** Requests that a lagging event loop reads late are not considered fresh. */
 import t from "tap";
-import { ArrivalClock } from "../../src/domain/arrivalClock.js";
+import { ArrivalEstimator } from "../../src/domain/arrivalEstimator.js";
 
 const TICK_MS = 50;
 
-function runTurn(clock: ArrivalClock, now: number): void {
+function runTurn(clock: ArrivalEstimator, now: number): void {
     clock.recordTick(now);
-    clock.recordPolled();
+    clock.recordPollEnd();
 }
 
 void t.test("without lag a request arrives when it is read", t => {
-    const clock = new ArrivalClock(TICK_MS, 0);
+    const clock = new ArrivalEstimator(TICK_MS, 0);
     clock.recordTick(52);
     t.equal(clock.estimateArrival(53), 52);
-    clock.recordPolled();
+    clock.recordPollEnd();
     t.equal(clock.estimateArrival(60), 60);
     runTurn(clock, 104);
     t.equal(clock.estimateArrival(105), 105);
@@ -21,11 +21,11 @@
 });
 
 void t.test("data found by the first poll after a long turn arrived in the middle of that turn", t => {
-    const clock = new ArrivalClock(TICK_MS, 0);
+    const clock = new ArrivalEstimator(TICK_MS, 0);
     runTurn(clock, 50);
     clock.recordTick(900);
     t.equal(clock.estimateArrival(910), 500);
-    clock.recordPolled();
+    clock.recordPollEnd();
     t.equal(clock.estimateArrival(915), 915);
     runTurn(clock, 952);
     t.equal(clock.estimateArrival(960), 960);
@@ -33,7 +33,7 @@
 });
 
 void t.test("data read late in a long turn was found by the poll at its start", t => {
-    const clock = new ArrivalClock(TICK_MS, 0);
+    const clock = new ArrivalEstimator(TICK_MS, 0);
     runTurn(clock, 50);
     t.equal(clock.estimateArrival(480), 100, "a poll after 100 ms would have been preceded by a tick");
     clock.recordTick(500);
@@ -42,21 +42,21 @@
 });
 
 void t.test("the first request of a connection arrived with it if it is read in the next turn", t => {
-    const clock = new ArrivalClock(TICK_MS, 0);
+    const clock = new ArrivalEstimator(TICK_MS, 0);
     runTurn(clock, 50);
     clock.recordTick(500);
     const connection = clock.createConnectionArrival(510);
-    clock.recordPolled();
+    clock.recordPollEnd();
     clock.recordTick(950);
     t.equal(clock.estimateFirstArrival(connection, 960), 300);
-    clock.recordPolled();
+    clock.recordPollEnd();
     clock.recordTick(1_400);
     t.equal(clock.estimateFirstArrival(connection, 1_410), 1_200, "sent some time after the connection was made");
     t.end();
 });
 
 void t.test("without lag a request sent some time after connecting arrives when it is read", t => {
-    const clock = new ArrivalClock(TICK_MS, 0);
+    const clock = new ArrivalEstimator(TICK_MS, 0);
     runTurn(clock, 50);
     const connection = clock.createConnectionArrival(60);
     runTurn(clock, 100);
--- a/test/domain/billReconciler.test.ts
+++ b/test/domain/billReconciler.test.ts
@@ -2,7 +2,7 @@
 import t from "tap";
 import { BillReconciler } from "../../src/daemons/controller/billReconciler.js";
 import type { ControllerContext } from "../../src/daemons/controller/fleetView.js";
-import { createUsageRecord } from "../../src/domain/billBook.js";
+import { createUsageRecord } from "../../src/domain/billStore.js";
 import { Ledger, ShareSource } from "../../src/domain/ledger.js";
 import { FakeClock, FakeJournal } from "../tools/fakes.js";
 
--- a/test/domain/coldSharing.test.ts
+++ b/test/domain/coldSharing.test.ts
@@ -7,7 +7,7 @@
  */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import t from "tap";
-import { RateSharing } from "../../src/domain/rateSharing.js";
+import { DistributedRateLimiter } from "../../src/domain/distributedRateLimiter.js";
 import type { UpstreamRegistration } from "../../src/domain/upstreamRegistry.js";
 
 const COLD_PER_SECOND = 10;
@@ -40,10 +40,10 @@
     const arrivals = new Map(upstreams.map(upstream => [upstream.id, [] as number[]]));
     const names = Array.from({ length: routers }, (_, i) => `10.0.${seed}.${i}:7340`);
     for (const name of names) {
-        const sharing = new RateSharing(name, draw, 0);
+        const sharing = new DistributedRateLimiter(name, draw, 0);
         const others = names.filter(other => other !== name && draw() >= unknownFraction);
-        sharing.setOthers(others, routers);
-        sharing.settle();
+        sharing.setPeers(others, routers);
+        sharing.enable();
         for (const now of drawRequestTimes(draw)) {
             const available = upstreams.find(upstream => sharing.getNextSendAt(upstream, COLD_PER_SECOND, now) <= now);
             if (available !== undefined) {
@@ -112,13 +112,13 @@
 });
 
 void t.test("the interval is kept while routers join and leave", t => {
-    const sharing = new RateSharing("r1", () => 0, 0);
-    sharing.settle();
+    const sharing = new DistributedRateLimiter("r1", () => 0, 0);
+    sharing.enable();
     const upstream = createUpstream("u");
     let sent = 0;
     for (let now = 0; now < 10_000; now += 10) {
         if (now % 50 === 0) {
-            sharing.setOthers(Array.from({ length: 1 + now / 50 % 2 }, (_, i) => `r${i + 2}`), 3);
+            sharing.setPeers(Array.from({ length: 1 + now / 50 % 2 }, (_, i) => `r${i + 2}`), 3);
         }
         if (sharing.getNextSendAt(upstream, COLD_PER_SECOND, now) <= now) {
             sharing.recordSend(upstream, COLD_PER_SECOND, now);
@@ -130,10 +130,10 @@
 });
 
 void t.test("a router that has just started does not send to cold upstreams", t => {
-    const sharing = new RateSharing("r1", () => 0, 0);
+    const sharing = new DistributedRateLimiter("r1", () => 0, 0);
     const upstream = createUpstream("u");
     t.equal(sharing.getNextSendAt(upstream, COLD_PER_SECOND, 0), Infinity);
-    sharing.settle();
+    sharing.enable();
     t.equal(sharing.getNextSendAt(upstream, COLD_PER_SECOND, 0), 0);
     t.end();
 });
--- a/test/domain/escrow.test.ts
+++ b/test/domain/escrow.test.ts
@@ -1,7 +1,7 @@
 /** Guards against overspent budgets and lost tokens under message loss, duplication, delay, crashes and disk loss. */
 import fc from "fast-check";
 import t from "tap";
-import { EscrowSimulation } from "../tools/escrowWorld.js";
+import { EscrowSimulation } from "../tools/escrowSimulation.js";
 
 const NUM_RUNS = 300;
 const SEED = 20_261_202;
--- a/test/domain/evacuationBook.test.ts
+++ b/test/domain/evacuationStore.test.ts
@@ -2,14 +2,14 @@
 import t from "tap";
 import { DeclaredState } from "../../src/domain/declaredState.js";
 import { EvacuatedZones } from "../../src/domain/evacuatedZones.js";
-import { EvacuationBook } from "../../src/domain/evacuationBook.js";
+import { EvacuationStore } from "../../src/domain/evacuationStore.js";
 
 function createOrder(zone: string, isEvacuated: boolean, expectedChanges: number) {
     return { type: "setEvacuation", zone, isEvacuated, expectedChanges } as const;
 }
 
 void t.test("a command, its duplicate and its reversal", t => {
-    const book = new EvacuationBook();
+    const book = new EvacuationStore();
     t.equal(book.applySet(createOrder("a", true, 0), 5).outcome, "done");
     t.equal(book.applySet(createOrder("a", true, 0), 6).outcome, "done", "duplicate");
     t.same(book.createList(), { index: 5, zones: ["a"] });
@@ -20,7 +20,7 @@
 });
 
 void t.test("a duplicate that arrives after the reversal changes nothing", t => {
-    const book = new EvacuationBook();
+    const book = new EvacuationStore();
     book.applySet(createOrder("a", true, 0), 1);
     book.applySet(createOrder("a", false, 1), 2);
     t.equal(book.applySet(createOrder("a", true, 0), 3).outcome, "overtaken");
@@ -29,7 +29,7 @@
 });
 
 void t.test("of two commands based on the same state only one is applied", t => {
-    const book = new EvacuationBook();
+    const book = new EvacuationStore();
     book.applySet(createOrder("a", true, 0), 1);
     t.equal(book.applySet(createOrder("a", false, 1), 2).outcome, "done");
     t.equal(book.applySet(createOrder("a", true, 1), 3).outcome, "overtaken");
@@ -38,7 +38,7 @@
 });
 
 void t.test("the number of zones is bounded, and known zones can still be changed", t => {
-    const book = new EvacuationBook();
+    const book = new EvacuationStore();
     const outcomes = Array.from({ length: 300 }, (_, i) => book.applySet(createOrder(`z${i}`, true, 0), i + 1).outcome);
     t.equal(outcomes.filter(outcome => outcome === "done").length, 256);
     t.equal(outcomes.at(-1), "full");
--- a/test/domain/limitSharing.test.ts
+++ b/test/domain/limitSharing.test.ts
@@ -6,7 +6,7 @@
  * upstream stays limited after its recovery.
  */
 import t from "tap";
-import { LimitSimulation, type LimitSimulationOptions } from "../tools/limitWorld.js";
+import { LimitSimulation, type LimitSimulationOptions } from "../tools/limitSimulation.js";
 
 const COMPLIANCE_MS = 3_000;
 const WINDOW_MS = 4_000;
--- a/test/domain/prepaidPurse.test.ts
+++ b/test/domain/localTokenBudget.test.ts
@@ -1,14 +1,14 @@
 /** Verifies lending between routers and the tokens that low ranks leave for urgent requests. */
 import t from "tap";
 import type { PrepaidReportCommand } from "../../src/domain/bundleCommands.js";
-import { PrepaidPurse } from "../../src/domain/prepaidPurse.js";
-import { testPurseOptions } from "../tools/prepaidWorld.js";
+import { LocalTokenBudget } from "../../src/domain/localTokenBudget.js";
+import { testTokenBudgetOptions } from "../tools/prepaidSimulation.js";
 
 const PREPAID = 100_000;
 const MOST_URGENT = 0;
 const LEAST_URGENT = 2;
 /** Time without an answer after which a router counts as partitioned. */
-const OUT_OF_CONTACT_MS = testPurseOptions.outOfContactMs + 1_000;
+const OUT_OF_CONTACT_MS = testTokenBudgetOptions.outOfContactMs + 1_000;
 
 interface Grant {
     readonly granted: number;
@@ -17,10 +17,10 @@
 }
 
 /** Creates a purse whose first report was answered with `grant`. */
-function createPurse(grant: Grant): PrepaidPurse {
+function createPurse(grant: Grant): LocalTokenBudget {
     // Waiting for the whole grant permits its immediate commitment, so that only the grant and the ranks limit
     // reservations.
-    const purse = new PrepaidPurse("r1", "i1", testPurseOptions);
+    const purse = new LocalTokenBudget("r1", "i1", testTokenBudgetOptions);
     purse.setLimits([{ account: "a", tokens: PREPAID }]);
     purse.addWaiting("a", grant.granted);
     exchangeReport(purse, grant, 0);
@@ -29,7 +29,7 @@
 }
 
 function exchangeReport(
-    purse: PrepaidPurse,
+    purse: LocalTokenBudget,
     { granted, free, writtenOff = 0 }: Grant,
     now: number,
 ): PrepaidReportCommand {
@@ -39,7 +39,7 @@
 }
 
 /** Reserves and consumes tokens, so that the purse measures urgent demand. */
-function consumeUrgent(purse: PrepaidPurse, tokens: number, now: number): void {
+function consumeUrgent(purse: LocalTokenBudget, tokens: number, now: number): void {
     t.equal(purse.tryReserve("a", tokens, MOST_URGENT, now), "reserved");
     purse.settle("a", tokens, tokens);
 }
@@ -110,7 +110,7 @@
 });
 
 void t.test("a report omits unchanged accounts", t => {
-    const purse = new PrepaidPurse("r1", "i1", testPurseOptions);
+    const purse = new LocalTokenBudget("r1", "i1", testTokenBudgetOptions);
     const names = Array.from({ length: 40 }, (_, i) => `account-${i}`);
     purse.setLimits(names.map(account => ({ account, tokens: PREPAID })));
     const report = (now: number, isAnswered: boolean): string[] => {
@@ -128,7 +128,11 @@
     t.same(report(800, false), ["account-7"]);
     t.same(report(1_000, true), ["account-7"], "repeated until answered");
     t.same(report(1_200, true), []);
-    t.equal(report(200 + testPurseOptions.refreshMs, true).length, names.length - 1, "refreshed after the interval");
+    t.equal(
+        report(200 + testTokenBudgetOptions.refreshMs, true).length,
+        names.length - 1,
+        "refreshed after the interval",
+    );
     t.end();
 });
 
@@ -161,21 +165,21 @@
 void t.test("unused loans are returned, except by holders and while requests wait", t => {
     const purse = createPurse({ granted: 0, free: PREPAID });
     purse.addBorrowed("a", 5_000);
-    t.same(purse.listLeftOfLoans(), [], "a holder keeps its loans");
+    t.same(purse.listUnusedLoans(), [], "a holder keeps its loans");
     purse.setHoldings(() => ({ isHolder: false, holders: 1 }));
     t.equal(purse.tryReserve("a", 5_000, MOST_URGENT, 1), "reserved");
-    t.same(purse.listLeftOfLoans(), []);
+    t.same(purse.listUnusedLoans(), []);
     purse.settle("a", 5_000, 2_000);
     purse.addWaiting("a", 4_000);
-    t.same(purse.listLeftOfLoans(), []);
+    t.same(purse.listUnusedLoans(), []);
     purse.addWaiting("a", -4_000);
-    t.same(purse.listLeftOfLoans(), [{ account: "a", tokens: 3_000 }]);
-    purse.returnLoan("a", 3_000);
-    t.same(purse.listLeftOfLoans(), []);
+    t.same(purse.listUnusedLoans(), [{ account: "a", tokens: 3_000 }]);
+    purse.deductReturnedLoan("a", 3_000);
+    t.same(purse.listUnusedLoans(), []);
     t.equal(purse.tryReserve("a", 1, MOST_URGENT, 1), "short");
 
     const holder = createPurse({ granted: 0, free: 0 });
-    holder.takeReturned("a", 3_000, 1);
+    holder.addReturnedLoan("a", 3_000, 1);
     t.equal(holder.tryReserve("a", 3_000, MOST_URGENT, 1), "reserved");
     t.end();
 });
--- a/test/domain/endSuspects.test.ts
+++ b/test/domain/poisonRequests.test.ts
@@ -2,16 +2,16 @@
 import t from "tap";
 import {
     countEndsByMoment,
-    type EndSuspect,
     findSuspects,
     groupByRequest,
+    type PoisonSuspect,
     type UpstreamEnd,
-} from "../../src/domain/endSuspects.js";
+} from "../../src/domain/poisonRequests.js";
 import {
     simulateUpstreamEnds,
     type UpstreamEndSimulationOptions,
     type UpstreamEndSimulationResult,
-} from "../tools/endWorld.js";
+} from "../tools/upstreamEndSimulation.js";
 
 const SEEDS = 20;
 /** Every twentieth request is sent four times at once; one engine of eight ends each 2 s, and a quarter of them each 10 s. */
@@ -37,7 +37,7 @@
     }));
 }
 
-function listSuspects(ends: UpstreamEnd[]): EndSuspect[] {
+function listSuspects(ends: UpstreamEnd[]): PoisonSuspect[] {
     return findSuspects(groupByRequest(ends), countEndsByMoment(ends));
 }
 
--- a/test/domain/prepaid.test.ts
+++ b/test/domain/prepaid.test.ts
@@ -2,8 +2,8 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import t, { type Test } from "tap";
 import type { PrepaidReportCommand } from "../../src/domain/bundleCommands.js";
-import { PrepaidBook, type PrepaidResult } from "../../src/domain/prepaidBook.js";
-import { PrepaidSimulation } from "../tools/prepaidWorld.js";
+import { PrepaidLedger, type PrepaidResult } from "../../src/domain/prepaidLedger.js";
+import { PrepaidSimulation } from "../tools/prepaidSimulation.js";
 
 const SEED_COUNT = 100;
 const STEP_COUNT = 1_000;
@@ -25,14 +25,14 @@
 }
 
 /** Applies the first two reports of a new incarnation, which replaces the previous one with the second report. */
-function reportRestart(book: PrepaidBook, index: number, part: Partial<PrepaidReportCommand>): PrepaidResult {
+function reportRestart(book: PrepaidLedger, index: number, part: Partial<PrepaidReportCommand>): PrepaidResult {
     const firstReport = createReport({ incarnation: "i2", ...part }, 0);
     t.match(book.applyReport(firstReport, index), { taken: false, awaitsConfirmation: true, accounts: [] });
     return book.applyReport({ ...firstReport, sequence: 2, answered: 1 }, index + 1);
 }
 
-function createBook(): PrepaidBook {
-    const book = new PrepaidBook();
+function createBook(): PrepaidLedger {
+    const book = new PrepaidLedger();
     book.applyLimits([{ account: "a", tokens: 10_000 }]);
     return book;
 }
@@ -70,7 +70,7 @@
     reportRestart(book, 3, { predecessor });
     // The newest report permits 300 + 100, plus 50 per second for one second.
     t.equal(book.getFree("a"), 10_000 - 450 - 1_000);
-    t.equal(book.listScarcest(1)[0]!.writtenOff, 150, "may have been spent but was not reported");
+    t.equal(book.listMostDepleted(1)[0]!.writtenOff, 150, "may have been spent but was not reported");
     book.checkConservation();
     t.end();
 });
@@ -87,11 +87,11 @@
     const book = createBook();
     book.applyReport(createReport({}, 0), 1);
     reportRestart(book, 2, {});
-    const copy = new PrepaidBook();
+    const copy = new PrepaidLedger();
     copy.loadSnapshot(book.createSnapshot());
     const result = copy.applyReport(createReport({ incarnation: "i2", sequence: 3 }, 0), 4);
     t.equal(result.accounts[0]!.writtenOff, 1_000);
-    t.same(copy.listScarcest(1), book.listScarcest(1));
+    t.same(copy.listMostDepleted(1), book.listMostDepleted(1));
     t.end();
 });
 
@@ -109,7 +109,7 @@
     book.applyReport(createReport({}, 0), 1);
     book.applyReport(createReport({ sequence: 2, answered: 1, closing: true }, 250), 2);
     t.equal(book.getFree("a"), 10_000 - 250);
-    t.equal(book.listScarcest(1)[0]!.writtenOff, 0);
+    t.equal(book.listMostDepleted(1)[0]!.writtenOff, 0);
     t.end();
 });
 
@@ -160,7 +160,7 @@
     const book = createBook();
     t.equal(book.applyReport(createReport({}, 0), 1).accounts[0]!.burst, 100);
     t.equal(book.applyReport(createReport({ router: "r2", incarnation: "j1" }, 0), 2).accounts[0]!.burst, 200);
-    const copy = new PrepaidBook();
+    const copy = new PrepaidLedger();
     copy.loadSnapshot(book.createSnapshot());
     copy.checkConservation();
     t.equal(copy.applyReport(createReport({ sequence: 2, answered: 1 }, 0), 3).accounts[0]!.burst, 200);
--- a/test/domain/rankQueue.test.ts
+++ b/test/domain/rankQueue.test.ts
@@ -80,7 +80,7 @@
             if (now < at) {
                 return;
             }
-            if (queue.couldEndWithin(deadlineMs, 0, 60_000, now)) {
+            if (queue.canFinishWithin(deadlineMs, 0, 60_000, now)) {
                 queue.add({ rank: 0, ageingMs: 60_000, enqueuedAt: now, caller });
                 nextRequestAt[caller] = Infinity;
             }
--- a/test/domain/syncBeforeAnswer.test.ts
+++ b/test/domain/syncBeforeAnswer.test.ts
@@ -1,7 +1,7 @@
 /** Guards against answering a request or its resend before the records that the answer depends on are synced. */
 import t from "tap";
-import type { UsageRecord } from "../../src/domain/billBook.js";
-import { IntentBook } from "../../src/domain/intentBook.js";
+import type { UsageRecord } from "../../src/domain/billStore.js";
+import { IntentStore } from "../../src/domain/intentStore.js";
 import { Ledger, ShareSource } from "../../src/domain/ledger.js";
 import { FakeJournal } from "../tools/fakes.js";
 
@@ -65,9 +65,9 @@
 
 void t.test("a resent intent waits until the original is synced", async t => {
     const journal = new FakeJournal(false);
-    const intents = new IntentBook(journal);
-    void intents.intend("a/1", { digest: "d", owner: "r1" });
-    const resent = intents.intend("a/1", { digest: "d", owner: "r1" });
+    const intents = new IntentStore(journal);
+    void intents.storeIntent("a/1", { digest: "d", owner: "r1" });
+    const resent = intents.storeIntent("a/1", { digest: "d", owner: "r1" });
     t.notOk(await isResolvedWithoutSync(resent));
     journal.sync();
     t.ok(await isResolvedWithoutSync(resent));
--- a/test/domain/tokenHolders.test.ts
+++ b/test/domain/tokenHolders.test.ts
@@ -1,11 +1,11 @@
 /** Verifies the choice of holders, and that holders serve most requests during a partition. */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import t from "tap";
-import { PrepaidBook } from "../../src/domain/prepaidBook.js";
-import { PrepaidPurse } from "../../src/domain/prepaidPurse.js";
+import { LocalTokenBudget } from "../../src/domain/localTokenBudget.js";
+import { PrepaidLedger } from "../../src/domain/prepaidLedger.js";
 import type { RouterContact } from "../../src/domain/routerGroups.js";
 import { TokenHolders } from "../../src/domain/tokenHolders.js";
-import { testPurseOptions } from "../tools/prepaidWorld.js";
+import { testTokenBudgetOptions } from "../tools/prepaidSimulation.js";
 
 const ZONES = ["a", "b", "c", "d", "e"];
 
@@ -24,9 +24,9 @@
 void t.test("in a small fleet, each router is its own holder", t => {
     for (const holders of createHolders(createContacts(6)).values()) {
         t.ok(holders.isHolder("x"));
-        t.equal(holders.tryFindNearest("x", () => true), undefined);
+        t.equal(holders.tryGetReachableHolder("x", () => true), undefined);
         t.equal(holders.getHolderCount(), 6);
-        t.equal(holders.listOthers("x", () => true).length, 5);
+        t.equal(holders.listHoldersOfOtherGroups("x", () => true).length, 5);
     }
     t.end();
 });
@@ -38,9 +38,9 @@
     const holder = group.find(address => all.get(address)!.isHolder("x"))!;
     const others = group.filter(address => address !== holder);
     t.equal(group.filter(address => all.get(address)!.isHolder("x")).length, 1);
-    others.forEach(address => t.equal(all.get(address)!.tryFindNearest("x", () => true), holder));
+    others.forEach(address => t.equal(all.get(address)!.tryGetReachableHolder("x", () => true), holder));
     const next = new Set(
-        others.map(address => all.get(address)!.tryFindNearest("x", other => other !== holder) ?? address),
+        others.map(address => all.get(address)!.tryGetReachableHolder("x", other => other !== holder) ?? address),
     );
     t.equal(next.size, 1);
     t.end();
@@ -74,10 +74,10 @@
 
 /** Routers measure demand while they reach the controllers and are then partitioned from them. */
 class PartitionSimulation {
-    private readonly book = new PrepaidBook();
+    private readonly book = new PrepaidLedger();
     private readonly contacts = createContacts(ROUTER_COUNT);
     private readonly holders = createHolders(this.contacts);
-    private readonly purses = new Map<string, PrepaidPurse>();
+    private readonly purses = new Map<string, LocalTokenBudget>();
     private readonly names = Array.from({ length: ACCOUNT_COUNT }, (_, i) => `account-${i}`);
     /** Few accounts are large, and most are small. */
     private readonly weights = this.names.map((_name, i) => 1 / (i + 1));
@@ -93,7 +93,10 @@
         }));
         this.book.applyLimits(limits);
         for (const { address } of this.contacts) {
-            const purse = new PrepaidPurse(address, `i-${address}`, { ...testPurseOptions, horizonMs: 9_500 });
+            const purse = new LocalTokenBudget(address, `i-${address}`, {
+                ...testTokenBudgetOptions,
+                horizonMs: 9_500,
+            });
             const holders = this.holders.get(address)!;
             purse.setHoldings(account =>
                 hasGroupHolders
@@ -158,11 +161,11 @@
         return isServed;
     }
 
-    private returnLoans(router: string, purse: PrepaidPurse): void {
-        for (const { account, tokens } of purse.listLeftOfLoans()) {
-            const holder = this.holders.get(router)!.tryFindNearest(account, () => true)!;
-            this.purses.get(holder)!.takeReturned(account, tokens, this.now);
-            purse.returnLoan(account, tokens);
+    private returnLoans(router: string, purse: LocalTokenBudget): void {
+        for (const { account, tokens } of purse.listUnusedLoans()) {
+            const holder = this.holders.get(router)!.tryGetReachableHolder(account, () => true)!;
+            this.purses.get(holder)!.addReturnedLoan(account, tokens, this.now);
+            purse.deductReturnedLoan(account, tokens);
         }
     }
 
@@ -172,14 +175,14 @@
             return Array.from({ length: MAX_LENDERS }, () => this.pick(this.contacts).address);
         }
         const holders = this.holders.get(router)!;
-        const ownHolder = holders.tryFindNearest(account, () => true);
+        const ownHolder = holders.tryGetReachableHolder(account, () => true);
         return [
             ...ownHolder === undefined ? [] : [ownHolder],
-            ...holders.listOthers(account, () => true).slice(0, MAX_LENDERS),
+            ...holders.listHoldersOfOtherGroups(account, () => true).slice(0, MAX_LENDERS),
         ];
     }
 
-    private report(purse: PrepaidPurse): void {
+    private report(purse: LocalTokenBudget): void {
         const report = purse.createReport(this.now, this.now, false);
         const result = this.book.applyReport(report, ++this.index);
         purse.applyAnswer(report.sequence, result.accounts, this.now);
--- a/test/domain/topUpRecovery.test.ts
+++ b/test/domain/topUpRecovery.test.ts
@@ -2,7 +2,7 @@
 import t from "tap";
 import type { ControllerContext } from "../../src/daemons/controller/fleetView.js";
 import { TopUpService } from "../../src/daemons/controller/topUpService.js";
-import { BudgetBook } from "../../src/domain/budgetBook.js";
+import { BudgetStore } from "../../src/domain/budgetStore.js";
 import type { Command } from "../../src/domain/commands.js";
 import { Ledger, ShareSource } from "../../src/domain/ledger.js";
 import { NoLog } from "../../src/ports/log.js";
@@ -10,7 +10,7 @@
 import { FakeClock, FakeJournal } from "../tools/fakes.js";
 
 class LogShare extends ShareSource {
-    constructor(private readonly ledger: string, private readonly book: BudgetBook) {
+    constructor(private readonly ledger: string, private readonly book: BudgetStore) {
         super();
     }
     override getAllotted(budget: string): number {
@@ -22,7 +22,7 @@
 }
 
 class World {
-    readonly book = new BudgetBook();
+    readonly book = new BudgetStore();
     readonly witnessed: WitnessedTopUp[] = [];
     connected = true;
 
--- a/test/domain/upstreamCandidates.test.ts
+++ b/test/domain/upstreamCandidates.test.ts
@@ -1,11 +1,11 @@
 /** Tests which upstreams may be sent to: evacuated zones, cold upstreams, backoffs, and the result if there is none. */
 import t from "tap";
 import type { BundleService } from "../../src/domain/bundle.js";
+import { DistributedRateLimiter } from "../../src/domain/distributedRateLimiter.js";
 import { EvacuatedZones } from "../../src/domain/evacuatedZones.js";
-import { RateSharing } from "../../src/domain/rateSharing.js";
+import { MAX_BACKOFF_MS, UpstreamBackoffs } from "../../src/domain/upstreamBackoffs.js";
 import { UpstreamCandidates } from "../../src/domain/upstreamCandidates.js";
 import { type UpstreamRegistration, UpstreamRegistry } from "../../src/domain/upstreamRegistry.js";
-import { MOST_REST_MS, UpstreamRests } from "../../src/domain/upstreamRests.js";
 
 const SERVICE: BundleService = { name: "s", maxConnections: 8, coldPerSecond: 10, coldStartMs: 3_000 };
 
@@ -18,12 +18,12 @@
 function createFixture() {
     const registry = new UpstreamRegistry();
     const zones = new EvacuatedZones();
-    const coldLimiter = new RateSharing("r1", () => 0.5, 0);
-    const rests = new UpstreamRests();
-    const namedLimiter = new RateSharing("r1", () => 0.5, 0.1);
+    const coldLimiter = new DistributedRateLimiter("r1", () => 0.5, 0);
+    const rests = new UpstreamBackoffs();
+    const namedLimiter = new DistributedRateLimiter("r1", () => 0.5, 0.1);
     for (const limiter of [coldLimiter, namedLimiter]) {
-        limiter.setOthers(["r2"], 2);
-        limiter.settle();
+        limiter.setPeers(["r2"], 2);
+        limiter.enable();
     }
     const candidates = new UpstreamCandidates(registry, zones, rests, coldLimiter, namedLimiter);
     const list = (now: number) => candidates.list(SERVICE, now, Infinity);
@@ -119,8 +119,8 @@
     const upstream = createRegistration({});
     registry.record(upstream, 0);
     rests.record(upstream, 1e12, 0);
-    t.same(listIds(MOST_REST_MS - 1), []);
-    t.same(listIds(MOST_REST_MS), ["u"]);
+    t.same(listIds(MAX_BACKOFF_MS - 1), []);
+    t.same(listIds(MAX_BACKOFF_MS), ["u"]);
     t.end();
 });
 
--- a/test/domain/upstreamLoad.test.ts
+++ b/test/domain/upstreamLoad.test.ts
@@ -3,11 +3,11 @@
 import { type SelectionContext, UpstreamLoad } from "../../src/domain/upstreamLoad.js";
 import type { UpstreamRegistration } from "../../src/domain/upstreamRegistry.js";
 
-const CONTEXT: SelectionContext = { tried: new Set(), routers: 1, longestWaitMs: 500 };
+const CONTEXT: SelectionContext = { excludedIds: new Set(), routerCount: 1, maxWaitMs: 500 };
 
 function createLoad(): UpstreamLoad {
     return new UpstreamLoad("z1", {
-        readingSpeed: { assumedMsPerToken: 0.02, leastTokens: 2_000, weight: 0.2 },
+        readingSpeed: { initialMsPerToken: 0.02, minSampleTokens: 2_000, smoothingFactor: 0.2 },
         waitWeight: 0.35,
         comfortablePart: 0.5,
         beyondWeight: 2,
@@ -57,7 +57,7 @@
     const demand = createDemand("p", "x");
     const first = load.tryChoose(upstreams, demand, CONTEXT, 0)!;
     for (let i = 0; i < 10; i++) {
-        load.recordStart({ ...first, newTokens: 6_000 }, createDemand(`other-${i}`, "y"), 0);
+        load.recordStart({ ...first, uncachedTokens: 6_000 }, createDemand(`other-${i}`, "y"), 0);
     }
     t.not(load.tryChoose(upstreams, demand, CONTEXT, 0)!.upstream.id, first.upstream.id);
     t.end();
@@ -70,8 +70,11 @@
     load.recordOutcome({ id: first }, "unreachable", 0);
     t.not(load.tryChoose(upstreams, demand, CONTEXT, 100)!.upstream.id, first);
     const others = new Set(upstreams.map(upstream => upstream.id).filter(id => id !== first));
-    t.equal(load.tryChoose(upstreams, demand, { ...CONTEXT, tried: others }, 100)!.upstream.id, first);
-    t.equal(load.tryChoose(upstreams, demand, { ...CONTEXT, tried: new Set([...others, first]) }, 100), undefined);
+    t.equal(load.tryChoose(upstreams, demand, { ...CONTEXT, excludedIds: others }, 100)!.upstream.id, first);
+    t.equal(
+        load.tryChoose(upstreams, demand, { ...CONTEXT, excludedIds: new Set([...others, first]) }, 100),
+        undefined,
+    );
     load.recordOutcome({ id: first }, "good", 500);
     t.equal(load.tryChoose(upstreams, demand, CONTEXT, 500)!.upstream.id, first);
     t.end();
@@ -103,13 +106,13 @@
     const load = createLoad();
     const demand = createDemand("p", "x");
     const first = load.tryChoose(upstreams, demand, CONTEXT, 0)!.upstream.id;
-    load.recordOther({ id: first }, 40_000, 0, [], 0);
+    load.recordPeerRequest({ id: first }, 40_000, 0, [], 0);
     const second = load.tryChoose(upstreams, demand, CONTEXT, 0)!.upstream.id;
     t.not(second, first);
-    load.recordOther({ id: second }, 6_000, 0, ["p", "y"], 0);
+    load.recordPeerRequest({ id: second }, 6_000, 0, ["p", "y"], 0);
     const third = load.tryChoose(upstreams, demand, CONTEXT, 2_000)!;
     t.equal(third.upstream.id, second);
-    t.equal(third.newTokens, 1_000, "the shared part is cached");
+    t.equal(third.uncachedTokens, 1_000, "the shared part is cached");
     t.end();
 });
 
@@ -118,19 +121,19 @@
     const short = { promptTokens: 200, parts: [{ id: "s", tokens: 200 }] };
     for (const upstream of upstreams.slice(0, 3)) {
         for (let i = 0; i < 8; i++) {
-            const placement = { upstream, newTokens: 0, aheadMs: 0, beyondMs: 0 };
+            const placement = { upstream, uncachedTokens: 0, queuedPrefillMs: 0, excessPrefillMs: 0 };
             load.recordFirstByte(load.recordStart(placement, short, 0), 0);
         }
     }
     const long = { promptTokens: 40_000, parts: [{ id: "l", tokens: 40_000 }] };
     const placement = load.tryChoose(upstreams, long, CONTEXT, 0)!;
     t.equal(placement.upstream.id, "d");
-    t.equal(placement.beyondMs, 550, "800 ms of prefill where 250 ms are harmless");
+    t.equal(placement.excessPrefillMs, 550, "800 ms of prefill where 250 ms are harmless");
     const started = load.recordStart(placement, long, 0);
     load.recordFirstByte(started, 900);
     load.recordEnd(started);
     const others = new Set(["a", "b"]);
-    const next = load.tryChoose(upstreams, short, { ...CONTEXT, tried: others }, 1_000)!;
+    const next = load.tryChoose(upstreams, short, { ...CONTEXT, excludedIds: others }, 1_000)!;
     t.equal(next.upstream.id, "c", "though d has fewer active requests");
     t.end();
 });
@@ -139,23 +142,27 @@
     const load = createLoad();
     const demand = createDemand("p", "x");
     const first = { ...load.tryChoose(upstreams, demand, CONTEXT, 0)!.upstream, bornAt: 1 };
-    const placement = { upstream: first, newTokens: 6_000, aheadMs: 0, beyondMs: 0 };
+    const placement = { upstream: first, uncachedTokens: 6_000, queuedPrefillMs: 0, excessPrefillMs: 0 };
     load.recordFirstByte(load.recordStart(placement, demand, 0), 100);
     for (let i = 0; i < 5; i++) {
         load.recordOutcome(first, "failed", 100);
     }
-    t.equal(load.tryChoose([first], demand, CONTEXT, 200)!.newTokens, 0);
+    t.equal(load.tryChoose([first], demand, CONTEXT, 200)!.uncachedTokens, 0);
     const again = { ...first, bornAt: 2 };
-    t.equal(load.tryChoose([again], demand, CONTEXT, 200)!.newTokens, 6_000);
+    t.equal(load.tryChoose([again], demand, CONTEXT, 200)!.uncachedTokens, 6_000);
     t.equal(load.tryChoose([again, first], { promptTokens: 0, parts: [] }, CONTEXT, 200)!.upstream, again);
-    load.recordOther({ id: first.id, bornAt: 1 }, 6_000, 0, ["p", "x"], 200);
+    load.recordPeerRequest({ id: first.id, bornAt: 1 }, 6_000, 0, ["p", "x"], 200);
     t.equal(
-        load.tryChoose([again], demand, CONTEXT, 200)!.newTokens,
+        load.tryChoose([again], demand, CONTEXT, 200)!.uncachedTokens,
         6_000,
         "reports of other routers on the earlier incarnation",
     );
     load.recordEnd(placement);
-    load.forgetExcept(new Set([`${first.id}@2`]));
-    t.equal(load.tryChoose([first], demand, CONTEXT, 200)!.newTokens, 6_000, "the earlier incarnation was evicted");
+    load.retainOnly(new Set([`${first.id}@2`]));
+    t.equal(
+        load.tryChoose([first], demand, CONTEXT, 200)!.uncachedTokens,
+        6_000,
+        "the earlier incarnation was evicted",
+    );
     t.end();
 });
--- a/test/domain/upstreamRegistry.test.ts
+++ b/test/domain/upstreamRegistry.test.ts
@@ -32,9 +32,9 @@
     t.equal(registry.getReady("s", 900, 1_000).length, 1);
     t.equal(registry.getReady("s", 1_100, 1_000).length, 0);
     t.equal(registry.getReady("s", 1_100, Infinity).length, 1);
-    registry.forgetOld(599_000);
+    registry.evictExpired(599_000);
     t.ok(registry.tryGet("u"));
-    registry.forgetOld(601_000);
+    registry.evictExpired(601_000);
     t.equal(registry.tryGet("u"), undefined);
     t.end();
 });
--- a/test/domain/lateBox.test.ts
+++ b/test/domain/versionCooldown.test.ts
@@ -3,8 +3,8 @@
  * always available.
  */
 import t from "tap";
-import { computeRestMs } from "../../src/domain/versionRest.js";
-import { type EventLoopLoad, simulateEventLoop } from "../tools/loopWorld.js";
+import { computeCooldownMs } from "../../src/domain/versionCooldown.js";
+import { type EventLoopLoad, simulateEventLoop } from "../tools/eventLoopSimulation.js";
 
 /** How late a final answer may be after the time-out. */
 const MAX_LATENESS_MS = 500;
@@ -20,7 +20,7 @@
     // 100 ms of CPU time on a quarter of a core.
     versionDecodeMs: 400,
     versionSlices: 20,
-    computeCooldownMs: computeRestMs,
+    computeCooldownMs,
 };
 const SEEDS = [1, 2, 3, 4, 5];
 
--- a/test/platform/engineSignals.test.ts
+++ b/test/platform/engineSignals.test.ts
@@ -22,7 +22,7 @@
     for (const value of ["", "-1", "many", "1e3", "1,2", "99999999999", "9999999", "NaN"]) {
         const signals = decode(200, { "server-limit": value });
         t.equal(signals.limitPerSecond, undefined, value);
-        t.same(signals.unreadable, [`server-limit=${value}`]);
+        t.same(signals.unparsed, [`server-limit=${value}`]);
     }
     t.end();
 });
@@ -30,18 +30,18 @@
 void t.test("leaving is 1", t => {
     t.equal(decode(200, { "server-leaving": "1" }).isLeaving, true);
     t.equal(decode(200, { "server-leaving": "0" }).isLeaving, false);
-    t.same(decode(200, { "server-leaving": "soon" }).unreadable, ["server-leaving=soon"]);
+    t.same(decode(200, { "server-leaving": "soon" }).unparsed, ["server-leaving=soon"]);
     t.end();
 });
 
 void t.test("a rest is asked for in seconds or until a date", t => {
-    t.equal(decode(503, { "retry-after": "3" }).restMs, 3_000);
-    t.equal(decode(503, { "retry-after": "0.5" }).restMs, 500);
-    t.equal(decode(429, { "retry-after": "Tue, 10 Mar 2026 11:00:07 GMT" }).restMs, 7_000);
-    t.equal(decode(429, { "retry-after": "Tue, 10 Mar 2026 10:00:00 GMT" }).restMs, 0);
+    t.equal(decode(503, { "retry-after": "3" }).backoffMs, 3_000);
+    t.equal(decode(503, { "retry-after": "0.5" }).backoffMs, 500);
+    t.equal(decode(429, { "retry-after": "Tue, 10 Mar 2026 11:00:07 GMT" }).backoffMs, 7_000);
+    t.equal(decode(429, { "retry-after": "Tue, 10 Mar 2026 10:00:00 GMT" }).backoffMs, 0);
     for (const value of ["-3", "later", "", "1/2"]) {
-        t.equal(decode(503, { "retry-after": value }).restMs, undefined, value);
-        t.same(decode(503, { "retry-after": value }).unreadable, [`retry-after=${value}`]);
+        t.equal(decode(503, { "retry-after": value }).backoffMs, undefined, value);
+        t.same(decode(503, { "retry-after": value }).unparsed, [`retry-after=${value}`]);
     }
     t.end();
 });
--- a/test/platform/rebornUpstream.test.ts
+++ b/test/platform/rebornUpstream.test.ts
@@ -62,7 +62,7 @@
         const realNow = Date.now;
         Date.now = () => realNow() + 600_000;
         t.teardown(() => Date.now = realNow);
-        daemon.loop.recordTick(performance.now());
+        daemon.loopMonitor.recordTick(performance.now());
         t.equal(await callRouter("a6"), 200);
         t.not(callerPorts.at(-1), before);
     });
--- a/test/platform/waitingRequests.test.ts
+++ b/test/platform/waitingRequests.test.ts
@@ -32,7 +32,7 @@
     slow.turnsAwayWith = { "Retry-After": String(REST_MS / 1_000) };
     const startedAt = performance.now();
     const waiting = Array.from({ length: REQUESTS }, () => callers.call("r1"));
-    await waitUntil("all have come", () => world.getDaemon("r1").getRunningCount() === REQUESTS);
+    await waitUntil("all have come", () => world.getDaemon("r1").getActiveRequestCount() === REQUESTS);
     await spare.start("c1");
     const { registry } = world.getDaemon("r1");
     await waitUntil("the other one is known", () => registry.tryGet("e2") !== undefined);
--- a/test/platform/wireBundle.test.ts
+++ b/test/platform/wireBundle.test.ts
@@ -1,7 +1,7 @@
 /** The operator's configuration: what is taken, what is refused, and how it is read. */
 import t from "tap";
 import { WireBundleDecoder } from "../../platform/wireBundle.js";
-import { BundleIndex, pickTarget } from "../../src/domain/bundle.js";
+import { BundleIndex, selectTarget } from "../../src/domain/bundle.js";
 import { createWireBundle } from "../tools/wireBundle.js";
 
 const decoder = new WireBundleDecoder();
@@ -36,8 +36,8 @@
     t.equal(index.tryGetRoute("api.example", "/none/"), undefined);
     t.equal(index.tryGetRoute("other.example", "/s/x"), undefined);
     const route = { ...index.bundle.routes[0]!, targets: [{ service: "a", weight: 0 }, { service: "b", weight: 3 }] };
-    t.equal(pickTarget(route, 0).service, "b");
-    t.equal(pickTarget(route, 0.999).service, "b");
+    t.equal(selectTarget(route, 0).service, "b");
+    t.equal(selectTarget(route, 0.999).service, "b");
 });
 
 const broken: readonly [string, (wire: ReturnType<typeof createWireBundle>) => unknown][] = [
--- a/test/tools/escrowReplica.ts
+++ b/test/tools/budgetReplica.ts
@@ -1,10 +1,10 @@
 /** A controller's replica of the budgets in the escrow simulation, which may lag behind the log. */
-import { BudgetBook } from "../../src/domain/budgetBook.js";
+import { BudgetStore } from "../../src/domain/budgetStore.js";
 import type { Command } from "../../src/domain/commands.js";
 import { ShareSource } from "../../src/domain/ledger.js";
 
 export class BudgetReplica extends ShareSource {
-    readonly budgets = new BudgetBook();
+    readonly budgets = new BudgetStore();
     appliedIndex = 0;
 
     constructor(private readonly log: readonly Command[], public ledgerId: string) {
@@ -13,7 +13,7 @@
 
     applyTo(index: number): void {
         while (this.appliedIndex < index) {
-            applyCommand(this.budgets, this.log[this.appliedIndex]!);
+            applyBudgetCommand(this.budgets, this.log[this.appliedIndex]!);
             this.appliedIndex += 1;
         }
     }
@@ -27,7 +27,7 @@
     }
 }
 
-export function applyCommand(book: BudgetBook, command: Command): void {
+export function applyBudgetCommand(book: BudgetStore, command: Command): void {
     switch (command.type) {
         case "registerLedger":
             book.applyRegisterLedger(command);
--- a/test/tools/escrowWorld.ts
+++ b/test/tools/escrowSimulation.ts
@@ -4,16 +4,16 @@
  */
 import type { ControllerContext } from "../../src/daemons/controller/fleetView.js";
 import { GrantCloser } from "../../src/daemons/controller/grantCloser.js";
-import type { UsageRecord } from "../../src/domain/billBook.js";
-import { BudgetBook, checkBudgetConservation } from "../../src/domain/budgetBook.js";
+import type { UsageRecord } from "../../src/domain/billStore.js";
+import { BudgetStore, isBudgetConserved } from "../../src/domain/budgetStore.js";
 import type { Command } from "../../src/domain/commands.js";
-import { getGrantFree, GrantBook, type Reservation } from "../../src/domain/grantBook.js";
+import { computeFreeGrantTokens, GrantStore, type Reservation } from "../../src/domain/grantStore.js";
 import { getGrantLedger } from "../../src/domain/identifiers.js";
-import { checkLedgerConservation, Ledger } from "../../src/domain/ledger.js";
+import { isLedgerConserved, Ledger } from "../../src/domain/ledger.js";
 import type { LedgerEvent } from "../../src/domain/ledgerEvents.js";
 import { NoLog } from "../../src/ports/log.js";
 import type { CloseGrantAnswer } from "../../src/protocol/runMethods.js";
-import { applyCommand, BudgetReplica } from "./escrowReplica.js";
+import { applyBudgetCommand, BudgetReplica } from "./budgetReplica.js";
 import { FakeClock, FakeJournal, settlePromises } from "./fakes.js";
 
 const BUDGET = "budget";
@@ -88,7 +88,7 @@
 
 interface RouterState {
     readonly name: string;
-    grants: GrantBook;
+    grants: GrantStore;
     generation: number;
 }
 
@@ -103,7 +103,7 @@
 export class EscrowSimulation {
     readonly clock = new FakeClock();
     private readonly log: Command[] = [];
-    private readonly committedBudgets = new BudgetBook();
+    private readonly committedBudgets = new BudgetStore();
     private readonly controllers: ControllerState[] = [];
     private readonly routers: RouterState[] = [];
     private readonly sidecars: SidecarState[] = [];
@@ -179,7 +179,7 @@
     /** Checks the invariants and describes the first violation, if any. */
     findViolation(): string | undefined {
         const account = this.committedBudgets.tryGetBudget(BUDGET);
-        if (account !== undefined && !checkBudgetConservation(account)) {
+        if (account !== undefined && !isBudgetConserved(account)) {
             return "replicated budget is not conserved";
         }
         const localCredit = this.controllers.reduce((sum, controller) => sum + this.sumLocalCredit(controller), 0);
@@ -188,7 +188,7 @@
             return `budget overspent: ${this.consumedTokens} tokens consumed of ${toppedUp} topped up`;
         }
         for (const controller of this.controllers) {
-            if (!checkLedgerConservation(controller.ledger)) {
+            if (!isLedgerConserved(controller.ledger)) {
                 return `ledger ${controller.ledger.id} is not conserved: ${
                     JSON.stringify(controller.ledger.getBalance(BUDGET))
                 }`;
@@ -221,13 +221,13 @@
         };
     }
 
-    private createGrantBook(router: string): GrantBook {
-        return new GrantBook(router, this.clock, () => undefined);
+    private createGrantBook(router: string): GrantStore {
+        return new GrantStore(router, this.clock, () => undefined);
     }
 
     private propose(command: Command): void {
         this.log.push(command);
-        applyCommand(this.committedBudgets, command);
+        applyBudgetCommand(this.committedBudgets, command);
     }
 
     /** Stores a top-up and sends it to the log. A `kind` of 0 makes it spendable before the log contains it. */
@@ -272,7 +272,7 @@
             return;
         }
         const grant = router.grants.tryGetDrawable(BUDGET, ledger.id, 0)
-            ?? router.grants.open(BUDGET, ledger.id, controller.name, GRANT_TTL_MS);
+            ?? router.grants.openGrant(BUDGET, ledger.id, controller.name, GRANT_TTL_MS);
         grant.drawSequence += 1;
         const sequence = grant.drawSequence;
         const generation = router.generation;
@@ -360,7 +360,7 @@
     private returnExpired(router: RouterState): void {
         const now = this.clock.getMonotonicMs();
         for (const grant of router.grants.getAll().filter(candidate => now >= candidate.expiresAt)) {
-            grant.returned += getGrantFree(grant);
+            grant.returned += computeFreeGrantTokens(grant);
             const controller = this.controllers.find(candidate => candidate.name === grant.controller)!;
             const returned = grant.returned;
             this.send(() => void controller.ledger.returnGrant(grant.id, returned));
@@ -443,7 +443,7 @@
         for (const run of sidecar.runs) {
             const usedTokens = tokens % (run.tokens + 1);
             this.consumedTokens += usedTokens;
-            run.reservation.hold(0);
+            run.reservation.settlePartially(0);
         }
         sidecar.runs = [];
         sidecar.usageOutbox = [];
@@ -453,7 +453,7 @@
 
     private returnFreeTokens(controller: ControllerState, tokens: number): void {
         const { ledger } = controller;
-        void ledger.giveBack(BUDGET, tokens).then(() => {
+        void ledger.returnFreeTokens(BUDGET, tokens).then(() => {
             const balance = ledger.getBalance(BUDGET);
             const share = {
                 budget: BUDGET,
--- a/test/tools/loopWorld.ts
+++ b/test/tools/eventLoopSimulation.ts
@@ -4,8 +4,8 @@
  * estimates and for the decision whether to send. Times in milliseconds.
  */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import { ArrivalClock, type ConnectionArrival } from "../../src/domain/arrivalClock.js";
-import { isWorthSending } from "../../src/domain/sendingTime.js";
+import { ArrivalEstimator, type ConnectionArrival } from "../../src/domain/arrivalEstimator.js";
+import { hasTimeToSend } from "../../src/domain/sendingTime.js";
 
 export interface EventLoopLoad {
     readonly seed: number;
@@ -67,7 +67,7 @@
     private nextTickAt = TICK_MS;
     private events: PollEvent[] = [];
     private readonly openRequests = new Set<SimulatedRequest>();
-    private readonly clock = new ArrivalClock(TICK_MS, 0);
+    private readonly clock = new ArrivalEstimator(TICK_MS, 0);
     private slicesLeft = 0;
     private nextVersionAt = 0;
     private versionStartedAt = 0;
@@ -137,7 +137,7 @@
 
     private handleRequest(request: SimulatedRequest): void {
         const remainingMs = request.arrivedAt + this.load.timeoutMs - this.now;
-        if (!isWorthSending(remainingMs, this.clock.getLateMs())) {
+        if (!hasTimeToSend(remainingMs, this.clock.getLagMs())) {
             request.isDone = true;
             this.outcome.refusedImmediately += 1;
             this.recordLateness(request);
@@ -166,7 +166,7 @@
     }
 
     private runChecks(): void {
-        this.clock.recordPolled();
+        this.clock.recordPollEnd();
         if (this.slicesLeft === 0 && this.now >= this.nextVersionAt) {
             this.slicesLeft = this.load.versionSlices;
             this.versionStartedAt = this.now;
--- a/test/tools/limitWorld.ts
+++ b/test/tools/limitSimulation.ts
@@ -3,17 +3,17 @@
  * components; notices between routers are delayed or lost.
  */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import { SignalReceiver } from "../../src/daemons/directRouter/signalReceiver.js";
+import { UpstreamSignalRecorder } from "../../src/daemons/directRouter/signalReceiver.js";
 import type { BundleService } from "../../src/domain/bundle.js";
+import { DistributedRateLimiter, LIMIT_PROBE_FRACTION } from "../../src/domain/distributedRateLimiter.js";
 import { EvacuatedZones } from "../../src/domain/evacuatedZones.js";
-import { LIMIT_TRIAL_PART, RateSharing } from "../../src/domain/rateSharing.js";
+import { UpstreamBackoffs } from "../../src/domain/upstreamBackoffs.js";
 import { UpstreamCandidates } from "../../src/domain/upstreamCandidates.js";
 import {
     type HeardRegistration,
     type UpstreamRegistration,
     UpstreamRegistry,
 } from "../../src/domain/upstreamRegistry.js";
-import { UpstreamRests } from "../../src/domain/upstreamRests.js";
 import { NO_SIGNALS } from "../../src/domain/upstreamSignals.js";
 import { NoLog } from "../../src/ports/log.js";
 import { NoMetrics } from "../../src/ports/metrics.js";
@@ -59,9 +59,9 @@
 interface Router {
     readonly name: string;
     registry: UpstreamRegistry;
-    sharing: RateSharing;
+    sharing: DistributedRateLimiter;
     candidates: UpstreamCandidates;
-    receiver: SignalReceiver;
+    receiver: UpstreamSignalRecorder;
     informedAt: number;
 }
 
@@ -128,15 +128,15 @@
     private createRouter(name: string, names: readonly string[]): Router {
         const registry = new UpstreamRegistry();
         registry.record(UPSTREAM, this.clock.getMonotonicMs());
-        const sharing = new RateSharing(name, () => this.draw(), LIMIT_TRIAL_PART);
+        const sharing = new DistributedRateLimiter(name, () => this.draw(), LIMIT_PROBE_FRACTION);
         const peers = names.filter(other => other !== name && this.draw() >= this.options.unknownFraction);
-        sharing.setOthers(peers, names.length);
-        sharing.settle();
-        const cold = new RateSharing(name, () => this.draw(), 0);
-        const rests = new UpstreamRests();
+        sharing.setPeers(peers, names.length);
+        sharing.enable();
+        const cold = new DistributedRateLimiter(name, () => this.draw(), 0);
+        const rests = new UpstreamBackoffs();
         const candidates = new UpstreamCandidates(registry, new EvacuatedZones(), rests, cold, sharing);
         const notify = (heard: HeardRegistration) => this.notifyPeers(name, heard);
-        const receiver = new SignalReceiver(registry, rests, notify, this.clock, new NoLog(), new NoMetrics());
+        const receiver = new UpstreamSignalRecorder(registry, rests, notify, this.clock, new NoLog(), new NoMetrics());
         return { name, registry, sharing, candidates, receiver, informedAt: Infinity };
     }
 
@@ -160,7 +160,7 @@
         const signals = isLimited ? { ...NO_SIGNALS, limitPerSecond: this.options.limitPerSecond } : NO_SIGNALS;
         this.schedule(responseMs, () => {
             router.informedAt = Math.min(router.informedAt, isLimited ? this.getElapsedMs() : Infinity);
-            router.receiver.record(UPSTREAM, signals, now);
+            router.receiver.recordSignals(UPSTREAM, signals, now);
         });
     }
 
@@ -168,7 +168,7 @@
         this.notices += 1;
         for (const router of this.routers) {
             if (router.name !== name && this.draw() >= this.options.noticeLossFraction) {
-                this.schedule(this.draw() * MAX_NOTICE_DELAY_MS, () => router.receiver.receive(heard));
+                this.schedule(this.draw() * MAX_NOTICE_DELAY_MS, () => router.receiver.recordReportedLimit(heard));
             }
         }
     }
--- a/test/tools/prepaidWorld.ts
+++ b/test/tools/prepaidSimulation.ts
@@ -3,11 +3,11 @@
  * reports that are lost, delayed or applied without an answer.
  */
 import type { PrepaidReportCommand } from "../../src/domain/bundleCommands.js";
-import { PrepaidBook, type PrepaidResult } from "../../src/domain/prepaidBook.js";
-import { PrepaidPurse } from "../../src/domain/prepaidPurse.js";
-import type { PrepaidPurseOptions } from "../../src/domain/prepaidPurseOptions.js";
-import { type EntryAge, RouterLives } from "../../src/domain/routerLife.js";
-import { TimeOfDayWatch } from "../../src/domain/timeOfDayWatch.js";
+import { LocalTokenBudget } from "../../src/domain/localTokenBudget.js";
+import type { LocalTokenBudgetOptions } from "../../src/domain/localTokenBudgetOptions.js";
+import { type EntryAge, PredecessorLifetimes } from "../../src/domain/predecessorLifetimes.js";
+import { PrepaidLedger, type PrepaidResult } from "../../src/domain/prepaidLedger.js";
+import { WallClockMonitor } from "../../src/domain/wallClockMonitor.js";
 
 const ROUTERS = ["r1", "r2", "r3"];
 const ACCOUNTS = ["large", "small"];
@@ -41,7 +41,7 @@
 const ON_TIME_LOAN_FRACTION = 0.8;
 const DELIVERED_LOAN_FRACTION = 0.9;
 
-export const testPurseOptions: PrepaidPurseOptions = {
+export const testTokenBudgetOptions: LocalTokenBudgetOptions = {
     horizonMs: 10_000,
     mostHeldPart: 0.6,
     firstPart: 0.15,
@@ -74,7 +74,7 @@
 interface RouterProcess {
     readonly incarnation: string;
     readonly startedAt: number;
-    readonly purse: PrepaidPurse;
+    readonly purse: LocalTokenBudget;
     readonly reservations: Reservation[];
     isPartitioned: boolean;
 }
@@ -88,15 +88,15 @@
     /** Actual consumption by account. */
     readonly consumed = new Map<string, number>();
     readonly prepaid = new Map<string, number>();
-    private readonly book = new PrepaidBook();
+    private readonly book = new PrepaidLedger();
     private readonly appendedAt: number[] = [0];
     /** Index of the first entry appended by the current leader. */
     private firstIndexOfLeader = 0;
-    private predecessorLifetimes = new RouterLives();
+    private predecessorLifetimes = new PredecessorLifetimes();
     /** Time that the leader's monotonic clock has missed while its box was suspended. */
     private leaderSuspendedMs = 0;
     /** Detects this time by the wall clock of the box `LEADER`. */
-    private leaderClock = new TimeOfDayWatch();
+    private leaderClock = new WallClockMonitor();
     /** Time of each entry by the leader's monotonic clock, corrected for the missed time that it had detected. */
     private readonly appendedElapsedMs: number[] = [0];
     private clockStep: { readonly boxes: readonly string[]; readonly ms: number; } = { boxes: [], ms: 0 };
@@ -206,7 +206,7 @@
     private startRouter(router: string): void {
         this.processCount += 1;
         const incarnation = `i${this.processCount}`;
-        const purse = new PrepaidPurse(router, incarnation, testPurseOptions);
+        const purse = new LocalTokenBudget(router, incarnation, testTokenBudgetOptions);
         const holders = this.holder === undefined ? ROUTERS.length : 1;
         purse.setHoldings(() => ({ isHolder: this.isHolder(router), holders }));
         this.routerProcesses.set(router, {
@@ -251,10 +251,10 @@
 
     /** Returns unused loans to the holder; some returns are lost. */
     private returnLoans(routerProcess: RouterProcess, holder: RouterProcess): void {
-        for (const { account, tokens } of routerProcess.purse.listLeftOfLoans()) {
-            routerProcess.purse.returnLoan(account, tokens);
+        for (const { account, tokens } of routerProcess.purse.listUnusedLoans()) {
+            routerProcess.purse.deductReturnedLoan(account, tokens);
             if (tokens % LOST_RETURN_DIVISOR !== 0) {
-                holder.purse.takeReturned(account, tokens, this.now - holder.startedAt);
+                holder.purse.addReturnedLoan(account, tokens, this.now - holder.startedAt);
             }
         }
     }
@@ -285,11 +285,11 @@
 
     /** Applies a report like a leader, with a bound on the lifetime of the router's previous process. */
     private applyReport(report: PrepaidReportCommand): PrepaidResult {
-        const earlierReports = this.book.tryGetPredecessor(report.router, report.incarnation);
+        const earlierReports = this.book.tryGetPredecessorReports(report.router, report.incarnation);
         const index = this.appendedAt.length;
         const predecessor = earlierReports === undefined
             ? undefined
-            : this.predecessorLifetimes.measure(earlierReports, report, {
+            : this.predecessorLifetimes.computePredecessorLifetime(earlierReports, report, {
                 newest: this.getEntryAge(earlierReports.newest.index),
                 answered: earlierReports.answered && this.getEntryAge(earlierReports.answered.index),
             });
@@ -301,10 +301,10 @@
 
     private getEntryAge(index: number): EntryAge {
         return index >= this.firstIndexOfLeader
-            ? { measuredMs: this.getLeaderElapsedMs() - this.appendedElapsedMs[index]!, witnessedMs: [] }
+            ? { measuredMs: this.getLeaderElapsedMs() - this.appendedElapsedMs[index]!, controllerClocksMs: [] }
             : {
                 measuredMs: undefined,
-                witnessedMs: CONTROLLERS.flatMap((box, i) => {
+                controllerClocksMs: CONTROLLERS.flatMap((box, i) => {
                     const appendedMs = this.appendedWallMs[index]![i];
                     return appendedMs === undefined ? [] : [this.getWallMs(box) - appendedMs];
                 }),
@@ -360,8 +360,8 @@
     /** Elects a leader that knows the age of earlier entries only by wall clocks. */
     private electNewLeader(): void {
         this.firstIndexOfLeader = this.appendedAt.length;
-        this.leaderClock = new TimeOfDayWatch();
-        this.predecessorLifetimes = new RouterLives();
+        this.leaderClock = new WallClockMonitor();
+        this.predecessorLifetimes = new PredecessorLifetimes();
     }
 
     /** Controllers lose power while some routers continue to run, and then all routers lose power. */
--- a/test/tools/endWorld.ts
+++ b/test/tools/upstreamEndSimulation.ts
@@ -3,7 +3,7 @@
  * ends each `endPeriodMs` for unrelated reasons, sometimes several at once, and a poison request ends each engine that runs it.
  */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import { countEndsByMoment, findSuspects, groupByRequest, type UpstreamEnd } from "../../src/domain/endSuspects.js";
+import { countEndsByMoment, findSuspects, groupByRequest, type UpstreamEnd } from "../../src/domain/poisonRequests.js";
 
 export interface UpstreamEndSimulationOptions {
     readonly seed: number;
