--- a/src/daemons/directRouter/bundleFetcher.ts
+++ b/src/daemons/directRouter/bundleFetcher.ts
@@ -1,7 +1,6 @@
 /**
- * Fetches bundles for a router: from one controller at a time, however many tell of a bundle, and always the newest that
- * the controller has. Several copies at once would hold up the answers to callers on a thin link: fetched whole from each of
- * five controllers, 1,700 routes kept 7 Mbit/s busy for 2.6 s a version. After each version it rests (`versionRest.ts`).
+ * Fetches the newest announced bundle, from one controller at a time: parallel downloads of one bundle would compete
+ * with responses to callers for bandwidth. Pauses after applying a version (see `versionRest.ts`).
  */
 import { setTimeout } from "node:timers/promises";
 import type { StoredBundle } from "../../domain/bundleStore.js";
@@ -11,25 +10,25 @@
 import { decodeBundle, type EncodedBundle } from "../../protocol/bundleTransfer.js";
 import { getBundleMethod } from "../../protocol/fleetMethods.js";
 
-/** After so many fetches in a row that came to nothing, the time that one may take grows no more. */
-const MOST_DOUBLINGS = 3;
+/** Bounds the exponential growth of the fetch timeout after consecutive failures. */
+const MAX_TIMEOUT_DOUBLINGS = 3;
 
-/** Told of bundles. */
+/** Receives fetched bundles. */
 export interface BundleListener {
-    /** Takes a bundle as the operator sent it; resolves when it is in force. */
+    /** Receives the text of a bundle as the operator submitted it. Resolves once the bundle has been applied. */
     receiveBundle(revision: number, text: string): Promise<void> | void;
 }
 
 export class BundleFetcher {
-    /** The newest revision that a controller has told of, where it is newer than what is held; who told first is first. */
-    private readonly told = new Map<string, number>();
-    private held: StoredBundle | undefined;
-    private fetching = false;
-    private failures = 0;
-    /** A change could not be read or did not fit: the whole is asked for. */
-    private needsWhole = false;
+    /** The newest revision announced by each controller, if newer than the current one, in order of announcement. */
+    private readonly announced = new Map<string, number>();
+    private current: StoredBundle | undefined;
+    private isFetching = false;
+    private consecutiveFailures = 0;
+    /** Set when a delta could not be decoded or applied, so that the next fetch requests the full bundle. */
+    private needsFullBundle = false;
 
-    /** `callTimeoutMs`: how long a controller may take to answer before another one is asked, in milliseconds. */
+    /** `callTimeoutMs`: initial timeout of a fetch, after which another controller is tried. */
     constructor(
         private readonly network: PeerNetwork,
         private readonly log: Log,
@@ -37,24 +36,27 @@
         private readonly callTimeoutMs: number,
     ) {}
 
-    /** Notes that a controller has a bundle. Resolves when nothing is left to fetch, or another call is fetching. */
+    /**
+     * Records that a controller has a bundle, and fetches it. Resolves when no announced bundle is left to fetch, or
+     * immediately if another call is already fetching.
+     */
     async fetch(controller: string, revision: number): Promise<void> {
-        if (revision > this.getHeldRevision()) {
-            this.told.set(controller, Math.max(revision, this.told.get(controller) ?? revision));
+        if (revision > this.getCurrentRevision()) {
+            this.announced.set(controller, Math.max(revision, this.announced.get(controller) ?? revision));
         }
-        if (this.fetching) {
+        if (this.isFetching) {
             return;
         }
-        this.fetching = true;
+        this.isFetching = true;
         try {
-            await this.fetchAll();
+            await this.fetchAnnounced();
         }
         finally {
-            this.fetching = false;
+            this.isFetching = false;
         }
     }
 
-    private async fetchAll(): Promise<void> {
+    private async fetchAnnounced(): Promise<void> {
         for (;;) {
             const source = this.trySelectSource();
             if (source === undefined) {
@@ -64,29 +66,29 @@
         }
     }
 
-    /** The controller that told of the newest bundle, the first of them. */
+    /** Returns the first controller that announced the newest revision. */
     private trySelectSource(): string | undefined {
-        const newest = Math.max(...this.told.values());
-        return [...this.told.keys()].find(controller => this.told.get(controller) === newest);
+        const newestRevision = Math.max(...this.announced.values());
+        return [...this.announced.keys()].find(controller => this.announced.get(controller) === newestRevision);
     }
 
-    /** A controller that has nothing newer, or does not answer, is asked again when it tells of a bundle again. */
+    /** Fetches once. A controller that fails or has no newer bundle is not retried until it announces a bundle again. */
     private async fetchFrom(controller: string): Promise<void> {
         const startedAt = performance.now();
         let restMs = 0;
-        const revision = this.told.get(controller);
-        this.told.delete(controller);
+        const revision = this.announced.get(controller);
+        this.announced.delete(controller);
         try {
             const answer = await this.network.call(
                 controller,
                 getBundleMethod,
-                { held: this.needsWhole ? undefined : this.held?.revision },
-                this.getTimeoutMs(),
+                { held: this.needsFullBundle ? undefined : this.current?.revision },
+                this.computeTimeoutMs(),
             );
-            this.failures = 0;
-            if (answer.bundle !== undefined && answer.bundle.revision > this.getHeldRevision()) {
+            this.consecutiveFailures = 0;
+            if (answer.bundle !== undefined && answer.bundle.revision > this.getCurrentRevision()) {
                 const fetchedAt = performance.now();
-                await this.take(answer.bundle);
+                await this.applyBundle(answer.bundle);
                 restMs = computeRestMs(performance.now() - fetchedAt);
                 this.log.info("bundle_fetched", {
                     controller,
@@ -98,7 +100,7 @@
             }
         }
         catch (error) {
-            this.failures += 1;
+            this.consecutiveFailures += 1;
             this.log.warn("bundle_not_fetched", { controller, revision, error: String(error) });
         }
         if (restMs > 0) {
@@ -106,25 +108,25 @@
         }
     }
 
-    private async take(encoded: EncodedBundle): Promise<void> {
-        this.needsWhole = true;
-        const bundle = decodeBundle(encoded, this.held);
-        this.needsWhole = false;
+    private async applyBundle(encodedBundle: EncodedBundle): Promise<void> {
+        this.needsFullBundle = true;
+        const bundle = decodeBundle(encodedBundle, this.current);
+        this.needsFullBundle = false;
         await this.listener.receiveBundle(bundle.revision, bundle.text);
-        this.held = bundle;
-        for (const [controller, revision] of this.told) {
+        this.current = bundle;
+        for (const [controller, revision] of this.announced) {
             if (revision <= bundle.revision) {
-                this.told.delete(controller);
+                this.announced.delete(controller);
             }
         }
     }
 
-    /** An answer that was given up is still on its way on a link that is too thin for it: the next gets twice the time. */
-    private getTimeoutMs(): number {
-        return this.callTimeoutMs * 2 ** Math.min(this.failures, MOST_DOUBLINGS);
+    /** Doubles the timeout after each failure: on a slow link, the response to a timed-out call still uses bandwidth. */
+    private computeTimeoutMs(): number {
+        return this.callTimeoutMs * 2 ** Math.min(this.consecutiveFailures, MAX_TIMEOUT_DOUBLINGS);
     }
 
-    private getHeldRevision(): number {
-        return this.held?.revision ?? -1;
+    private getCurrentRevision(): number {
+        return this.current?.revision ?? -1;
     }
 }
--- a/test/daemons/bundleFetch.test.ts
+++ b/test/daemons/bundleFetch.test.ts
@@ -1,4 +1,4 @@
-/** How a router fetches a bundle that several controllers tell of: once, from one of them at a time. */
+/** Guards against a router downloading the same bundle from several controllers at once. */
 import t, { type Test } from "tap";
 import type { BundleListener } from "../../src/daemons/directRouter/bundleFetcher.js";
 import type { FeedListener } from "../../src/daemons/directRouter/controllerFeed.js";
@@ -14,12 +14,12 @@
 
 const CONTROLLERS = ["c1", "c2", "c3", "c4", "c5"];
 const NO_LOG: Log = { info: () => undefined, warn: () => undefined, error: () => undefined };
-const NO_BUNDLE: FeedListener & BundleListener = {
+const IGNORING_LISTENER: FeedListener & BundleListener = {
     receiveFollowAnswer: () => undefined,
     receiveUpstreamNews: () => undefined,
     receiveBundle: () => undefined,
 };
-const options: ControllerFeedsOptions = {
+const OPTIONS: ControllerFeedsOptions = {
     address: "r1",
     followPeriodMs: 50,
     callTimeoutMs: 1_000,
@@ -29,18 +29,18 @@
     unconfirmedReadyMs: 3_000,
 };
 
-interface Fetch {
+interface FetchCall {
     readonly held: number | undefined;
     readonly timeoutMs: number;
 }
 
-/** Reaches no controller; fetches of bundles wait until the test ends them. */
-class HeldNetwork extends PeerNetwork {
-    /** Addresses that a bundle was asked of, in order. */
-    readonly asked: string[] = [];
-    readonly fetches: Fetch[] = [];
+/** Rejects all connections. Bundle fetches stay pending until the test answers or rejects them. */
+class ManualNetwork extends PeerNetwork {
+    /** Addresses that a bundle was requested from, in order. */
+    readonly calledAddresses: string[] = [];
+    readonly fetches: FetchCall[] = [];
     private readonly answers: ((bundle: EncodedBundle) => void)[] = [];
-    private readonly refusals: (() => void)[] = [];
+    private readonly rejections: (() => void)[] = [];
 
     override connect(address: string): Promise<Peer> {
         return Promise.reject(new RefusalError(createRefusal("peerGone", address)));
@@ -48,79 +48,79 @@
 
     override call<P, R>(address: string, method: PeerMethod<P, R>, params: P, timeoutMs: number): Promise<R> {
         t.equal(method.name, getBundleMethod.name);
-        this.asked.push(address);
+        this.calledAddresses.push(address);
         this.fetches.push({ held: (params as { held?: number; }).held, timeoutMs });
         return new Promise((resolve, reject) => {
             this.answers.push(bundle => resolve({ bundle } as R));
-            this.refusals.push(() => reject(new RefusalError(createRefusal("peerTimeout", address, "unknown"))));
+            this.rejections.push(() => reject(new RefusalError(createRefusal("peerTimeout", address, "unknown"))));
         });
     }
 
-    /** The fetch that waits longest comes to nothing. */
-    refuseNext(): void {
+    /** Rejects the oldest pending fetch. */
+    rejectNext(): void {
         this.answers.shift();
-        this.refusals.shift()!();
+        this.rejections.shift()!();
     }
 
     async answerNext(bundle: EncodedBundle): Promise<void> {
-        this.refusals.shift();
+        this.rejections.shift();
         this.answers.shift()!(bundle);
         await settlePromises();
     }
 }
 
-function startFeeds(t: Test): { network: HeldNetwork; feeds: ControllerFeeds; } {
-    const network = new HeldNetwork();
-    const feeds = new ControllerFeeds(network, new SystemClock(), NO_LOG, NO_BUNDLE, options);
+function startFeeds(t: Test): { network: ManualNetwork; feeds: ControllerFeeds; } {
+    const network = new ManualNetwork();
+    const feeds = new ControllerFeeds(network, new SystemClock(), NO_LOG, IGNORING_LISTENER, OPTIONS);
     feeds.setSeeds(CONTROLLERS);
     t.teardown(() => feeds.stop());
     return { network, feeds };
 }
 
-void t.test("a bundle that five controllers tell of is fetched from one of them", async t => {
+void t.test("a bundle announced by five controllers is fetched from one of them", async t => {
     const { network, feeds } = startFeeds(t);
     CONTROLLERS.forEach(controller => void feeds.fetchBundle(controller, 7));
     await settlePromises();
-    t.same(network.asked, ["c1"]);
+    t.same(network.calledAddresses, ["c1"]);
 });
 
-void t.test("where one controller does not answer, another one that told of the bundle is asked", async t => {
+void t.test("if a fetch fails, the next controller that announced the bundle is tried", async t => {
     const { network, feeds } = startFeeds(t);
     CONTROLLERS.forEach(controller => void feeds.fetchBundle(controller, 7));
-    network.refuseNext();
+    network.rejectNext();
     await settlePromises();
-    t.same(network.asked, ["c1", "c2"]);
+    t.same(network.calledAddresses, ["c1", "c2"]);
 });
 
-void t.test("a bundle that was overtaken while another was fetched is passed over", async t => {
+void t.test("revisions superseded during a fetch are skipped", async t => {
     const { network, feeds } = startFeeds(t);
     void feeds.fetchBundle("c1", 1);
     [2, 3, 4].forEach(revision => void feeds.fetchBundle("c2", revision));
     await network.answerNext(await encodeBundle({ revision: 1, text: "{1}" }, undefined));
-    await waitUntil("the next fetch", () => network.asked.length === 2);
+    await waitUntil("the next fetch", () => network.calledAddresses.length === 2);
     await network.answerNext(await encodeBundle({ revision: 4, text: "{4}" }, undefined));
-    t.same(network.asked, ["c1", "c2"]);
+    t.same(network.calledAddresses, ["c1", "c2"]);
     t.equal(network.fetches[1]!.held, 1);
 });
 
-void t.test("after a change that does not fit, the whole is asked for", async t => {
+void t.test("the full bundle is requested after a delta cannot be applied", async t => {
     const { network, feeds } = startFeeds(t);
     void feeds.fetchBundle("c1", 1);
     await network.answerNext(await encodeBundle({ revision: 1, text: "{1}" }, undefined));
     const change = await encodeBundle({ revision: 2, text: "{1}{2}" }, { revision: 1, text: "{1}" });
     void feeds.fetchBundle("c1", 2);
-    await waitUntil("the fetch of the change", () => network.asked.length === 2);
+    await waitUntil("the fetch of the delta", () => network.calledAddresses.length === 2);
     await network.answerNext({ ...change, length: change.length + 1 });
     void feeds.fetchBundle("c1", 2);
-    await waitUntil("the fetch of the whole", () => network.asked.length === 3);
+    await waitUntil("the fetch of the full bundle", () => network.calledAddresses.length === 3);
     t.same(network.fetches.map(fetch => fetch.held), [undefined, 1, undefined]);
 });
 
-void t.test("each fetch that comes to nothing gives the next more time, up to a bound", async t => {
+void t.test("the fetch timeout doubles after each failure, up to a limit", async t => {
     const { network, feeds } = startFeeds(t);
     for (let i = 0; i < 6; i++) {
         void feeds.fetchBundle("c1", 1);
-        network.refuseNext();
+        network.rejectNext();
         await settlePromises();
     }
     t.same(network.fetches.map(fetch => fetch.timeoutMs), [1_000, 2_000, 4_000, 8_000, 8_000, 8_000]);
