--- a/src/daemons/directRouter/controllerFeed.ts
+++ b/src/daemons/directRouter/controllerFeed.ts
@@ -1,6 +1,6 @@
 /**
- * Follows one controller: a task that keeps a connection to it, hears of bundles and upstreams, and asks again
- * regularly, so that a notice that was lost is made good.
+ * Follows one controller: keeps a connection open and polls it for bundles, upstreams and members. Polling also recovers
+ * from lost notifications.
  */
 import type { RouterContact } from "../../domain/routerGroups.js";
 import type { ChangeCursor, UpstreamNews } from "../../domain/upstreamChanges.js";
@@ -13,41 +13,40 @@
 
 /** Times in milliseconds. */
 export interface ControllerFeedOptions {
-    /** Where other routers reach this one. */
+    /** The address at which other routers reach this one. */
     readonly address: string;
-    /** Pause between questions to one controller. */
+    /** Interval between polls of one controller. */
     readonly followPeriodMs: number;
     readonly callTimeoutMs: number;
-    /** Pause after a connection that was lost or not made. */
+    /** Delay before reconnecting after a connection is lost or cannot be established. */
     readonly redialMs: number;
-    /** Silence from which controllers name an upstream as unheard: longer than the pause between its reports. */
+    /** Age of an upstream's last report from which controllers list it as unheard. Must exceed the report interval. */
     readonly upstreamUnheardMs: number;
 }
 
-/** Told of what a controller answers. */
+/** Receives the responses of controllers. */
 export interface FeedListener {
-    /** Takes a controller's answer to the regular question. `routers`: those that follow it, as it last told. */
+    /** Handles the response to a poll. `routers`: the routers that follow the controller, from its latest list. */
     receiveFollowAnswer(answer: FollowAnswer, routers: readonly RouterContact[]): void;
-    /** Takes what a controller says of upstreams since its last word. `heard`: when it heard each that it knows. */
+    /** Handles upstream changes. `heard`: upper bounds on the age of each known upstream's last report. */
     receiveUpstreamNews(news: UpstreamNews, heard: readonly HeardUpstream[]): void;
 }
 
-/** Decides whether a controller is asked for all upstreams with the next question. */
-export type UpstreamTurn = (feed: ControllerFeed) => boolean;
+/** Decides whether the next poll of a controller requests upstream changes. */
+export type UpstreamPollPredicate = (feed: ControllerFeed) => boolean;
 
-/** What this router hears from one controller. */
 export class ControllerFeed {
-    /** When the controller last answered. Monotonic clock, milliseconds. */
-    heardAt = -Infinity;
-    /** Whether the controller said that it reaches a majority of the others. */
+    /** Time of the last response. Monotonic clock, milliseconds. */
+    lastAnsweredAt = -Infinity;
+    /** Whether the controller reported that it can reach a majority of the controllers. */
     hasMajority = false;
-    /** When the controller was last asked for all upstreams. Monotonic clock, milliseconds. */
-    upstreamsAskedAt = -Infinity;
-    private readonly upstreams: FollowedUpstreams;
-    /** The routers that follow the controller, and which of its lists that was. */
+    /** Time of the last poll that requested upstream changes. Monotonic clock, milliseconds. */
+    upstreamsPolledAt = -Infinity;
+    private readonly followedUpstreams: FollowedUpstreams;
+    /** The routers that follow the controller; `routersCursor` identifies the version of this list. */
     private routers: readonly RouterContact[] = [];
     private routersCursor: ChangeCursor | undefined;
-    private stopped = false;
+    private isStopped = false;
 
     constructor(
         readonly address: string,
@@ -56,16 +55,16 @@
         private readonly log: Log,
         private readonly listener: FeedListener,
         private readonly fetcher: BundleFetcher,
-        private readonly isUpstreamTurn: UpstreamTurn,
+        private readonly isUpstreamPollDue: UpstreamPollPredicate,
         private readonly options: ControllerFeedOptions,
     ) {
-        this.upstreams = new FollowedUpstreams(options.upstreamUnheardMs);
+        this.followedUpstreams = new FollowedUpstreams(options.upstreamUnheardMs);
     }
 
-    /** The controller's one task. */
+    /** Connects and polls until stopped, reconnecting after failures. */
     async run(): Promise<void> {
         let wasConnected = false;
-        while (!this.stopped) {
+        while (!this.isStopped) {
             try {
                 const peer = await this.network.connect(this.address);
                 await this.follow(peer, () => {
@@ -87,35 +86,35 @@
     }
 
     stop(): void {
-        this.stopped = true;
+        this.isStopped = true;
     }
 
     private async follow(peer: Peer, onAnswer: () => void): Promise<void> {
         const { address, callTimeoutMs, followPeriodMs } = this.options;
-        // What was told while there was no connection is made good by the first answer.
+        // Changes may have been missed while disconnected, so the first poll requests them.
         let wantsUpstreams = true;
-        while (!this.stopped) {
+        while (!this.isStopped) {
             if (wantsUpstreams) {
-                this.upstreamsAskedAt = this.clock.getMonotonicMs();
+                this.upstreamsPolledAt = this.clock.getMonotonicMs();
             }
-            const { unheardMs } = this.upstreams;
-            const since = this.upstreams.tryGetCursor();
+            const { unheardMs } = this.followedUpstreams;
+            const since = this.followedUpstreams.tryGetCursor();
             const params = { address, wantsUpstreams, since, unheardMs, routersSince: this.routersCursor };
             const answer = await peer.call(followMethod, params, callTimeoutMs);
-            this.heardAt = this.clock.getMonotonicMs();
+            this.lastAnsweredAt = this.clock.getMonotonicMs();
             this.hasMajority = answer.hasMajority;
             onAnswer();
             this.routers = answer.routers ?? this.routers;
             this.routersCursor = answer.routersCursor;
             this.listener.receiveFollowAnswer(answer, this.routers);
             if (answer.news !== undefined) {
-                this.listener.receiveUpstreamNews(answer.news, this.upstreams.take(answer.news));
+                this.listener.receiveUpstreamNews(answer.news, this.followedUpstreams.take(answer.news));
             }
             if (answer.bundleRevision !== undefined) {
                 void this.fetcher.fetch(this.address, answer.bundleRevision);
             }
             await this.clock.wait(followPeriodMs);
-            wantsUpstreams = this.isUpstreamTurn(this);
+            wantsUpstreams = this.isUpstreamPollDue(this);
         }
     }
 }
--- a/src/daemons/directRouter/controllerFeeds.ts
+++ b/src/daemons/directRouter/controllerFeeds.ts
@@ -1,4 +1,4 @@
-/** The controllers that a router follows: those it begins with, and those that a controller with a majority names. */
+/** Follows the seed controllers and the members reported by a controller that has a majority. */
 import type { Clock } from "../../ports/clock.js";
 import type { Log } from "../../ports/log.js";
 import type { PeerNetwork } from "../../ports/peer.js";
@@ -7,9 +7,9 @@
 
 /** Times in milliseconds. */
 export interface ControllerFeedsOptions extends ControllerFeedOptions {
-    /** A controller that has not answered for so long is asked no more, unless it was just named. */
+    /** Time without a response after which a controller is dropped, unless the list being applied includes it. */
     readonly forgetControllerMs: number;
-    /** Without a majority of the controllers a router calls itself ready after so long. */
+    /** Time after which a router reports ready even if no controller with a majority has responded. */
     readonly unconfirmedReadyMs: number;
 }
 
@@ -18,7 +18,7 @@
     /** Monotonic clock, milliseconds. */
     private readonly startedAt: number;
     private readonly fetcher: BundleFetcher;
-    private named: readonly string[] = [];
+    private members: readonly string[] = [];
 
     constructor(
         private readonly network: PeerNetwork,
@@ -31,58 +31,56 @@
         this.fetcher = new BundleFetcher(network, log, listener, options.callTimeoutMs);
     }
 
-    /** Follows the seeds beside the controllers that were named. */
+    /** Follows the seeds in addition to the current members. */
     setSeeds(seeds: readonly string[]): void {
-        this.update([...seeds, ...this.named]);
+        this.follow([...seeds, ...this.members]);
     }
 
-    /** Follows the controllers that one with a majority names. */
+    /** Follows the members reported by a controller that has a majority. */
     setNamed(addresses: readonly string[]): void {
-        this.named = addresses;
-        this.update(addresses);
+        this.members = addresses;
+        this.follow(addresses);
     }
 
-    /** Addresses of the controllers that are followed, those that answer first. */
+    /** Lists the followed controllers: those with a majority first, then by most recent response. */
     getAddresses(): string[] {
         const feeds = [...this.feeds.values()];
-        feeds.sort((a, b) => Number(b.hasMajority) - Number(a.hasMajority) || b.heardAt - a.heardAt);
+        feeds.sort((a, b) => Number(b.hasMajority) - Number(a.hasMajority) || b.lastAnsweredAt - a.lastAnsweredAt);
         return feeds.map(feed => feed.address);
     }
 
-    /** Fetches the bundle from a controller that told of it, if that one is followed. */
+    /** Fetches a bundle that a controller announced. Ignores controllers that are not followed. */
     async fetchBundle(address: string, revision: number): Promise<void> {
         if (this.feeds.has(address)) {
             await this.fetcher.fetch(address, revision);
         }
     }
 
-    /** Whether enough controllers have been heard that no newer bundle can be in force. */
+    /** Whether a controller with a majority has responded, or `unconfirmedReadyMs` has elapsed without one. */
     isConfirmed(): boolean {
         const feeds = [...this.feeds.values()];
         return feeds.some(feed => feed.hasMajority)
             || this.clock.getMonotonicMs() - this.startedAt > this.options.unconfirmedReadyMs;
     }
 
-    /** Follows nobody any more. */
     stop(): void {
         this.feeds.forEach(feed => feed.stop());
     }
 
     /**
-     * About once a period one controller is asked for all upstreams, the one that was not for longest, since a controller
-     * that is cut off from upstreams knows nothing new. Asking each of five in each period costs a router five times the
-     * bytes: by reckoning 60 KB a second for 60 upstreams, 7 in 100 of a link of 7 Mbit/s.
+     * Polls one controller for upstream changes about once per period, in least-recently-polled order. Rotating limits
+     * traffic, and ensures that a controller partitioned from the upstreams is not the only source.
      */
-    private isUpstreamTurn(feed: ControllerFeed): boolean {
+    private isUpstreamPollDue(feed: ControllerFeed): boolean {
         const now = this.clock.getMonotonicMs();
         const { followPeriodMs } = this.options;
-        const live = [...this.feeds.values()].filter(other => now - other.heardAt < 2 * followPeriodMs);
-        const newestAskedAt = Math.max(...live.map(other => other.upstreamsAskedAt));
-        return now - newestAskedAt >= followPeriodMs / 2
-            && live.every(other => other.upstreamsAskedAt >= feed.upstreamsAskedAt);
+        const responsive = [...this.feeds.values()].filter(other => now - other.lastAnsweredAt < 2 * followPeriodMs);
+        const lastPolledAt = Math.max(...responsive.map(other => other.upstreamsPolledAt));
+        return now - lastPolledAt >= followPeriodMs / 2
+            && responsive.every(other => other.upstreamsPolledAt >= feed.upstreamsPolledAt);
     }
 
-    private update(addresses: readonly string[]): void {
+    private follow(addresses: readonly string[]): void {
         for (const address of addresses) {
             if (!this.feeds.has(address)) {
                 const feed = new ControllerFeed(
@@ -92,21 +90,21 @@
                     this.log,
                     this.listener,
                     this.fetcher,
-                    feed => this.isUpstreamTurn(feed),
+                    feed => this.isUpstreamPollDue(feed),
                     this.options,
                 );
                 this.feeds.set(address, feed);
                 void feed.run();
             }
         }
-        this.forgetSilent(addresses);
+        this.removeUnresponsive(addresses);
     }
 
-    private forgetSilent(wanted: readonly string[]): void {
+    private removeUnresponsive(retained: readonly string[]): void {
         const now = this.clock.getMonotonicMs();
         for (const [address, feed] of this.feeds) {
-            const silentMs = now - Math.max(feed.heardAt, this.startedAt);
-            if (!wanted.includes(address) && silentMs > this.options.forgetControllerMs) {
+            const unansweredMs = now - Math.max(feed.lastAnsweredAt, this.startedAt);
+            if (!retained.includes(address) && unansweredMs > this.options.forgetControllerMs) {
                 feed.stop();
                 this.feeds.delete(address);
             }
--- a/test/daemons/upstreamTurns.test.ts
+++ b/test/daemons/upstreamTurns.test.ts
@@ -1,4 +1,4 @@
-/** A router asks its controllers in turn for all upstreams, each of them only once in a while. */
+/** Guards against polling every controller for upstream changes in each period. */
 import t from "tap";
 import { ControllerFeeds } from "../../src/daemons/directRouter/controllerFeeds.js";
 import { Clock } from "../../src/ports/clock.js";
@@ -9,13 +9,13 @@
 
 const NO_LOG: Log = { info: () => undefined, warn: () => undefined, error: () => undefined };
 const CONTROLLERS = ["c1", "c2", "c3", "c4", "c5"];
-const PERIOD_MS = 1_000;
+const FOLLOW_PERIOD_MS = 1_000;
 const STEP_MS = 100;
 
-/** Time moves in steps; those who wait are woken when theirs has come. */
-class SteppedClock extends Clock {
+/** Advances time in steps and resolves the timers that are due after each. */
+class SteppingClock extends Clock {
     private now = 0;
-    private waiting: { readonly dueAt: number; readonly wake: () => void; }[] = [];
+    private timers: { readonly dueAt: number; readonly wake: () => void; }[] = [];
 
     override getMonotonicMs(): number {
         return this.now;
@@ -24,27 +24,27 @@
         return this.now;
     }
     override wait(ms: number): Promise<void> {
-        return new Promise(wake => this.waiting.push({ dueAt: this.now + ms, wake }));
+        return new Promise(wake => this.timers.push({ dueAt: this.now + ms, wake }));
     }
     async advance(ms: number): Promise<void> {
         for (const end = this.now + ms; this.now < end;) {
             this.now += STEP_MS;
-            const due = this.waiting.filter(entry => entry.dueAt <= this.now);
-            this.waiting = this.waiting.filter(entry => entry.dueAt > this.now);
+            const due = this.timers.filter(entry => entry.dueAt <= this.now);
+            this.timers = this.timers.filter(entry => entry.dueAt > this.now);
             due.forEach(entry => entry.wake());
             await settlePromises();
         }
     }
 }
 
-interface Question {
+interface FollowRequest {
     readonly controller: string;
     readonly wantsUpstreams: boolean;
 }
 
-class CountingNetwork extends PeerNetwork {
-    readonly questions: Question[] = [];
-    readonly silent = new Set<string>();
+class RecordingNetwork extends PeerNetwork {
+    readonly requests: FollowRequest[] = [];
+    readonly unreachable = new Set<string>();
 
     override connect(address: string): Promise<Peer> {
         return Promise.resolve(new AnsweringPeer(this, address));
@@ -54,15 +54,15 @@
 class AnsweringPeer extends Peer {
     override readonly identity: PeerIdentity = { name: "c", role: "controller", zone: "z", incarnation: "i" };
 
-    constructor(private readonly network: CountingNetwork, private readonly address: string) {
+    constructor(private readonly network: RecordingNetwork, private readonly address: string) {
         super();
     }
     override call<P, R>(_method: PeerMethod<P, R>, params: P): Promise<R> {
-        if (this.network.silent.has(this.address)) {
-            return Promise.reject(new Error("silent"));
+        if (this.network.unreachable.has(this.address)) {
+            return Promise.reject(new Error("unreachable"));
         }
         const { wantsUpstreams } = params as { wantsUpstreams: boolean; };
-        this.network.questions.push({ controller: this.address, wantsUpstreams });
+        this.network.requests.push({ controller: this.address, wantsUpstreams });
         const answer: FollowAnswer = { upstreams: [], controllers: CONTROLLERS, routers: [], hasMajority: true };
         return Promise.resolve(answer as R);
     }
@@ -76,8 +76,8 @@
 }
 
 function startFeeds() {
-    const clock = new SteppedClock();
-    const network = new CountingNetwork();
+    const clock = new SteppingClock();
+    const network = new RecordingNetwork();
     const listener = {
         receiveFollowAnswer: () => undefined,
         receiveUpstreamNews: () => undefined,
@@ -85,8 +85,8 @@
     };
     const feeds = new ControllerFeeds(network, clock, NO_LOG, listener, {
         address: "r1",
-        followPeriodMs: PERIOD_MS,
-        callTimeoutMs: PERIOD_MS,
+        followPeriodMs: FOLLOW_PERIOD_MS,
+        callTimeoutMs: FOLLOW_PERIOD_MS,
         redialMs: 200,
         upstreamUnheardMs: 1_800,
         forgetControllerMs: 20_000,
@@ -96,31 +96,31 @@
     return { clock, network, feeds };
 }
 
-void t.test("every controller is asked for all upstreams at first, then one a period, each in its turn", async t => {
+void t.test("the first poll of each controller requests upstreams, then one controller per period in rotation", async t => {
     const { clock, network, feeds } = startFeeds();
     await settlePromises();
-    t.same(network.questions.map(({ wantsUpstreams }) => wantsUpstreams), [true, true, true, true, true]);
-    network.questions.length = 0;
-    await clock.advance(10 * PERIOD_MS);
-    const whole = network.questions.filter(({ wantsUpstreams }) => wantsUpstreams);
-    t.equal(network.questions.length, 10 * CONTROLLERS.length, "all are asked whether there is news");
-    t.equal(whole.length, 10);
-    CONTROLLERS.forEach(name => t.equal(whole.filter(({ controller }) => controller === name).length, 2, name));
+    t.same(network.requests.map(({ wantsUpstreams }) => wantsUpstreams), [true, true, true, true, true]);
+    network.requests.length = 0;
+    await clock.advance(10 * FOLLOW_PERIOD_MS);
+    const upstreamPolls = network.requests.filter(({ wantsUpstreams }) => wantsUpstreams);
+    t.equal(network.requests.length, 10 * CONTROLLERS.length, "every controller is polled in each period");
+    t.equal(upstreamPolls.length, 10);
+    CONTROLLERS.forEach(name => t.equal(upstreamPolls.filter(({ controller }) => controller === name).length, 2, name));
     feeds.stop();
 });
 
-void t.test("a controller that falls silent loses its turn, and is asked at once when it is back", async t => {
+void t.test("an unresponsive controller leaves the rotation, and is polled for upstreams when it recovers", async t => {
     const { clock, network, feeds } = startFeeds();
     await settlePromises();
-    network.silent.add("c1");
-    await clock.advance(3 * PERIOD_MS);
-    network.questions.length = 0;
-    await clock.advance(4 * PERIOD_MS);
-    t.equal(network.questions.filter(({ wantsUpstreams }) => wantsUpstreams).length, 4);
-    network.silent.delete("c1");
-    network.questions.length = 0;
+    network.unreachable.add("c1");
+    await clock.advance(3 * FOLLOW_PERIOD_MS);
+    network.requests.length = 0;
+    await clock.advance(4 * FOLLOW_PERIOD_MS);
+    t.equal(network.requests.filter(({ wantsUpstreams }) => wantsUpstreams).length, 4);
+    network.unreachable.delete("c1");
+    network.requests.length = 0;
     await clock.advance(2 * STEP_MS);
-    t.same(network.questions.filter(({ controller }) => controller === "c1"), [{
+    t.same(network.requests.filter(({ controller }) => controller === "c1"), [{
         controller: "c1",
         wantsUpstreams: true,
     }]);
