--- a/src/daemons/directRouter/knownRouters.ts
+++ b/src/daemons/directRouter/knownRouters.ts
@@ -1,46 +1,43 @@
 /**
- * The other routers, as controllers name them. Each controller names those that follow it at the moment, so after a cut
- * every one of them knows only a part for a while: a router is forgotten only when none has named it for long.
+ * Merges the lists of routers reported by the controllers. Each controller lists only its own followers, so lists are
+ * incomplete after a network partition: a router is removed once no controller has listed it for `RETENTION_MS`.
  */
-
 import type { RouterContact } from "../../domain/routerGroups.js";
 
-/** How long a router is kept that no controller names though controllers are heard, in milliseconds. */
-const KEEP_MS = 10_000;
+const RETENTION_MS = 10_000;
 
 interface KnownRouter {
     readonly contact: RouterContact;
-    /** When a controller named it last. Monotonic clock, milliseconds. */
-    readonly namedAt: number;
+    /** Monotonic clock, milliseconds. */
+    readonly lastListedAt: number;
 }
 
 export class KnownRouters {
-    private readonly known = new Map<string, KnownRouter>();
+    private readonly routers = new Map<string, KnownRouter>();
 
-    /** `self`: this router's own address, which is left out. */
+    /** `self`: this router's address, which is excluded. */
     constructor(private readonly self: string) {}
 
-    /** Takes the routers that a controller names. `heardSince`: since when controllers have been heard without a gap. */
-    record(routers: readonly RouterContact[], heardSince: number, now: number): void {
+    /** Records routers listed by a controller. `inContactSince`: start of uninterrupted contact with controllers. */
+    record(routers: readonly RouterContact[], inContactSince: number, now: number): void {
         for (const contact of routers) {
             if (contact.address !== this.self) {
-                this.known.set(contact.address, { contact, namedAt: now });
+                this.routers.set(contact.address, { contact, lastListedAt: now });
             }
         }
-        if (now - heardSince > KEEP_MS) {
-            this.forgetNamedBefore(now - KEEP_MS);
+        if (now - inContactSince > RETENTION_MS) {
+            this.removeListedBefore(now - RETENTION_MS);
         }
     }
 
-    /** The other routers. */
     list(): RouterContact[] {
-        return [...this.known.values()].map(({ contact }) => contact);
+        return [...this.routers.values()].map(({ contact }) => contact);
     }
 
-    private forgetNamedBefore(time: number): void {
-        for (const [router, { namedAt }] of this.known) {
-            if (namedAt < time) {
-                this.known.delete(router);
+    private removeListedBefore(time: number): void {
+        for (const [router, { lastListedAt }] of this.routers) {
+            if (lastListedAt < time) {
+                this.routers.delete(router);
             }
         }
     }
