--- a/src/daemons/directRouter/prepaidBorrower.ts
+++ b/src/daemons/directRouter/prepaidBorrower.ts
@@ -1,6 +1,6 @@
 /**
- * Asks other routers for prepaid tokens: first the one that holds the account for this router, then, when the controllers
- * cannot be reached or have none left, the account's other holders. Gives back what is left.
+ * Borrows prepaid tokens from other routers: from the account's holder in this router's group or, if the controllers
+ * are unreachable or have no tokens left, from its holders in other groups. Returns unused tokens.
  */
 import type { LeftOfLoan, PrepaidPurse } from "../../domain/prepaidPurse.js";
 import type { TokenHolders } from "../../domain/tokenHolders.js";
@@ -11,35 +11,35 @@
 
 /** Times in milliseconds. */
 export interface PrepaidBorrowerOptions {
-    /** Other routers that are asked for one request, one after the other. */
+    /** Maximum number of holders in other groups that are asked per request, sequentially. */
     readonly maxAsked: number;
-    /** How long a request waits for a router's answer. */
+    /** How long a request waits for a lender's response. */
     readonly callTimeoutMs: number;
-    /** How long an answer is waited for beside: what it lends is lost without it. */
+    /** How long a response is awaited in the background: without it, the tokens lent are lost. */
     readonly lateAnswerMs: number;
-    /** How long a router that did not answer is not asked. */
+    /** How long a router that did not respond is not asked again. */
     readonly avoidMs: number;
-    /** How often what is left of loans goes back. */
+    /** Interval between returns of unused tokens. */
     readonly returnPeriodMs: number;
 }
 
 export class PrepaidBorrower {
-    /** Counts the routers asked, so that each is asked in turn. */
-    private next = 0;
-    /** Until when routers that did not answer are not asked. Monotonic clock, milliseconds. */
-    private readonly avoidedUntil = new Map<string, number>();
+    /** Round-robin counter over the holders in other groups. */
+    private lendersAsked = 0;
+    /** By address: the time until which an unresponsive router is not asked. Monotonic clock, milliseconds. */
+    private readonly backoffUntil = new Map<string, number>();
     private returnTimer: NodeJS.Timeout | undefined;
 
     constructor(
         private readonly purse: PrepaidPurse,
         private readonly holders: TokenHolders,
         private readonly network: PeerNetwork,
-        private readonly routers: RouterLinks,
+        private readonly routerLinks: RouterLinks,
         private readonly log: Log,
         private readonly options: PrepaidBorrowerOptions,
     ) {}
 
-    /** Begins to give back what is left of loans. */
+    /** Starts the periodic return of unused tokens. */
     start(): void {
         this.returnTimer = setInterval(() => this.returnLoans(), this.options.returnPeriodMs);
     }
@@ -51,7 +51,7 @@
     addHandlers(handlers: PeerHandlers): void {
         handlers.add(lendPrepaidMethod, ({ account, tokens, rank, isHeldForAsker }) => {
             const lent = this.purse.lend(account, tokens, rank, isHeldForAsker, performance.now());
-            // What could not be lent is told by the one that asked, if its request comes to nothing.
+            // If the loan falls short and the request is refused, the borrower logs it.
             if (lent > 0 && !isHeldForAsker) {
                 this.log.info("prepaid_lent", { account, asked: tokens, lent });
             }
@@ -64,46 +64,45 @@
     }
 
     /**
-     * Gives the holders back what requests have left of their loans. A request reserves the most that it may consume; left
-     * where they are, they came to 16,272 tokens of one account at one router, and to 1.25 million at 245 of the 507 refusals
-     * that 21 routers logged in a cut (one run).
+     * Returns unused tokens to the holders. Requests reserve their maximum consumption, so unused tokens would otherwise
+     * accumulate at the borrowers while other routers refuse requests.
      */
     returnLoans(): void {
         const byHolder = new Map<string, LeftOfLoan[]>();
-        for (const left of this.purse.listLeftOfLoans()) {
-            const holder = this.holders.tryFindNearest(left.account, address => this.isAsked(address));
+        for (const unused of this.purse.listLeftOfLoans()) {
+            const holder = this.holders.tryFindNearest(unused.account, address => this.isEligible(address));
             if (holder !== undefined) {
-                byHolder.set(holder, [...byHolder.get(holder) ?? [], left]);
+                byHolder.set(holder, [...byHolder.get(holder) ?? [], unused]);
             }
         }
         for (const [holder, accounts] of byHolder) {
-            if (this.routers.tryNotify(holder, returnPrepaidMethod, { accounts })) {
+            if (this.routerLinks.tryNotify(holder, returnPrepaidMethod, { accounts })) {
                 accounts.forEach(({ account, tokens }) => this.purse.returnLoan(account, tokens));
             }
         }
     }
 
-    /** Asks the nearest holder for what a reservation lacks. Answers whether that came together. */
+    /** Borrows the shortfall of a reservation from the nearest holder. Returns whether the reservation is covered. */
     async borrowFromHolder(account: string, tokens: number, rank: number): Promise<boolean> {
-        const holder = this.holders.tryFindNearest(account, address => this.isAsked(address));
-        const missing = this.getShortfall(account, tokens, rank);
-        if (holder !== undefined && missing > 0) {
-            await this.ask(holder, { account, tokens: missing, rank, isHeldForAsker: true });
+        const holder = this.holders.tryFindNearest(account, address => this.isEligible(address));
+        const shortfall = this.getShortfall(account, tokens, rank);
+        if (holder !== undefined && shortfall > 0) {
+            await this.requestLoan(holder, { account, tokens: shortfall, rank, isHeldForAsker: true });
         }
         return this.getShortfall(account, tokens, rank) === 0;
     }
 
-    /** Asks the account's other holders one after the other. Answers whether what a reservation lacks came together. */
+    /** Borrows the shortfall sequentially from holders in other groups. Returns whether the reservation is covered. */
     async borrow(account: string, tokens: number, rank: number): Promise<boolean> {
-        const others = this.holders.listOthers(account, address => this.isAsked(address));
-        const count = Math.min(this.options.maxAsked, others.length);
+        const lenders = this.holders.listOthers(account, address => this.isEligible(address));
+        const count = Math.min(this.options.maxAsked, lenders.length);
         for (let i = 0; i < count; i++) {
-            const missing = this.getShortfall(account, tokens, rank);
-            if (missing === 0) {
+            const shortfall = this.getShortfall(account, tokens, rank);
+            if (shortfall === 0) {
                 return true;
             }
-            const address = others[this.next++ % others.length]!;
-            await this.ask(address, { account, tokens: missing, rank, isHeldForAsker: false });
+            const address = lenders[this.lendersAsked++ % lenders.length]!;
+            await this.requestLoan(address, { account, tokens: shortfall, rank, isHeldForAsker: false });
         }
         return this.getShortfall(account, tokens, rank) === 0;
     }
@@ -112,49 +111,49 @@
         return this.purse.getShortfall(account, tokens, rank, performance.now());
     }
 
-    /** Whether a router is asked: it has not failed to answer lately. */
-    private isAsked(address: string): boolean {
-        if (performance.now() < (this.avoidedUntil.get(address) ?? -Infinity)) {
+    /** Whether a router may be asked for a loan, that is, its backoff has expired. */
+    private isEligible(address: string): boolean {
+        if (performance.now() < (this.backoffUntil.get(address) ?? -Infinity)) {
             return false;
         }
-        this.avoidedUntil.delete(address);
+        this.backoffUntil.delete(address);
         return true;
     }
 
-    /** Asks one router; resolves when it has answered, or the request cannot wait for it any longer. */
-    private async ask(address: string, wanted: LoanRequest): Promise<void> {
-        const loan = this.takeLoan(address, wanted);
+    /** Asks one router for a loan. Resolves when it has responded or `callTimeoutMs` has elapsed. */
+    private async requestLoan(address: string, request: LoanRequest): Promise<void> {
+        const loan = this.receiveLoan(address, request);
         let timer: NodeJS.Timeout | undefined;
-        const late = new Promise<"late">(resolve => {
+        const timeout = new Promise<"late">(resolve => {
             timer = setTimeout(() => resolve("late"), this.options.callTimeoutMs);
         });
-        if (await Promise.race([loan, late]) === "late") {
-            this.avoid(address);
-            this.log.info("prepaid_loan_late", { router: address, account: wanted.account, tokens: wanted.tokens });
+        if (await Promise.race([loan, timeout]) === "late") {
+            this.startBackoff(address);
+            this.log.info("prepaid_loan_late", { router: address, account: request.account, tokens: request.tokens });
         }
         clearTimeout(timer);
     }
 
     /**
-     * Takes what a router lends, also where its answer comes too late for the request: to the book the other has spent it.
-     * It goes back with the next returns. Never rejects.
+     * Adds the tokens lent to the purse, even if the response is too late for the request: the lender has already
+     * deducted them. Late tokens are returned with other unused tokens. Never rejects.
      */
-    private async takeLoan(address: string, wanted: LoanRequest): Promise<void> {
+    private async receiveLoan(address: string, request: LoanRequest): Promise<void> {
         const { callTimeoutMs, lateAnswerMs } = this.options;
-        const { account, tokens } = wanted;
+        const { account, tokens } = request;
         try {
-            const answer = await this.network.call(address, lendPrepaidMethod, wanted, lateAnswerMs, callTimeoutMs);
-            this.avoidedUntil.delete(address);
+            const answer = await this.network.call(address, lendPrepaidMethod, request, lateAnswerMs, callTimeoutMs);
+            this.backoffUntil.delete(address);
             this.purse.addBorrowed(account, answer.tokens);
         }
         catch (error) {
-            // What the other gave away is lost then: safe, and it asks for more in its next report.
+            // Tokens already deducted by the lender are lost. This is safe: the lender will report more demand.
             this.log.warn("prepaid_not_borrowed", { router: address, account, tokens, error: String(error) });
-            this.avoid(address);
+            this.startBackoff(address);
         }
     }
 
-    private avoid(address: string): void {
-        this.avoidedUntil.set(address, performance.now() + this.options.avoidMs);
+    private startBackoff(address: string): void {
+        this.backoffUntil.set(address, performance.now() + this.options.avoidMs);
     }
 }
