--- a/src/daemons/directRouter/otherRouters.ts
+++ b/src/daemons/directRouter/otherRouters.ts
@@ -1,4 +1,4 @@
-/** The other routers: who and how many they are, and which parts of this router have to know when that changes. */
+/** Tracks the other routers and propagates membership changes to the components that depend on them. */
 import type { PrepaidPurse } from "../../domain/prepaidPurse.js";
 import type { RateSharing } from "../../domain/rateSharing.js";
 import type { RouterContact } from "../../domain/routerGroups.js";
@@ -6,67 +6,61 @@
 import { KnownRouters } from "./knownRouters.js";
 import type { PlacementSharer } from "./placementSharer.js";
 
-/**
- * How long controllers have to be heard until few routers are missing among those that they name, in milliseconds: where a
- * whole zone starts again, routers follow within two of their questions.
- */
-const SETTLE_MS = 2_000;
+/** Two poll intervals: time in contact with controllers after which their lists of routers are nearly complete. */
+const MEMBERSHIP_SETTLE_MS = 2_000;
 
 export class OtherRouters {
-    private readonly known: KnownRouters;
-    /** The addresses that holders and groups were made of. */
-    private addresses = "";
+    private readonly knownRouters: KnownRouters;
+    /** The sorted addresses from which token holders and groups were last computed. */
+    private appliedAddresses = "";
 
-    /**
-     * `address`: this router's own. `count`: routers to reckon with, this one among them, before the controllers have said
-     * how many there are.
-     */
+    /** `address`: this router's address. `count`: initial number of routers, including this one, until one is known. */
     constructor(
         address: string,
         private count: number,
         private readonly purse: PrepaidPurse,
         private readonly holders: TokenHolders,
         private readonly sharer: PlacementSharer,
-        private readonly sharings: readonly RateSharing[],
+        private readonly rateSharings: readonly RateSharing[],
     ) {
-        this.known = new KnownRouters(address);
+        this.knownRouters = new KnownRouters(address);
     }
 
-    /** How many routers there are, this one among them. */
+    /** Returns the number of routers, including this one. */
     getCount(): number {
         return this.count;
     }
 
     /**
-     * Takes the routers that a controller names. `heardSince`: since when controllers have been heard without a gap.
-     * `reporting`: how many routers report prepaid tokens. Answers whether there are more or fewer than before.
+     * Records the routers that a controller lists. `inContactSince`: start of uninterrupted contact with controllers.
+     * `reportingCount`: number of routers that report prepaid tokens. Returns whether the number of routers changed.
      */
-    record(named: readonly RouterContact[], heardSince: number, reporting: number, now: number): boolean {
-        this.known.record(named, heardSince, now);
-        const others = this.known.list();
-        const count = Math.max(1 + others.length, reporting);
-        if (now - heardSince > SETTLE_MS) {
-            this.sharings.forEach(sharing => sharing.settle());
+    record(listed: readonly RouterContact[], inContactSince: number, reportingCount: number, now: number): boolean {
+        this.knownRouters.record(listed, inContactSince, now);
+        const others = this.knownRouters.list();
+        const newCount = Math.max(1 + others.length, reportingCount);
+        if (now - inContactSince > MEMBERSHIP_SETTLE_MS) {
+            this.rateSharings.forEach(sharing => sharing.settle());
         }
-        const hasNewCount = count !== this.count;
-        this.count = count;
-        const addresses = others.map(({ address }) => address).sort().join(" ");
-        const hasNewOthers = addresses !== this.addresses;
-        if (hasNewOthers) {
-            this.addresses = addresses;
+        const hasCountChanged = newCount !== this.count;
+        this.count = newCount;
+        const sortedAddresses = others.map(({ address }) => address).sort().join(" ");
+        const hasMembershipChanged = sortedAddresses !== this.appliedAddresses;
+        if (hasMembershipChanged) {
+            this.appliedAddresses = sortedAddresses;
             this.holders.setOthers(others);
             this.sharer.setOthers(others);
         }
-        if (hasNewOthers || hasNewCount) {
-            const known = others.map(({ address }) => address);
-            this.sharings.forEach(sharing => sharing.setOthers(known, count));
+        if (hasMembershipChanged || hasCountChanged) {
+            const otherAddresses = others.map(({ address }) => address);
+            this.rateSharings.forEach(sharing => sharing.setOthers(otherAddresses, newCount));
             this.updateHoldings();
         }
-        this.sharer.keepLinks();
-        return hasNewCount;
+        this.sharer.reconcileLinks();
+        return hasCountChanged;
     }
 
-    /** Where each router holds for itself, those count too that report and that no controller has named. */
+    /** If every router is a holder, routers that report but are not listed count as holders too. */
     private updateHoldings(): void {
         const holders = this.holders.hasOnlyHolders() ? this.count : this.holders.getHolderCount();
         this.purse.setHoldings(account => ({ isHolder: this.holders.isHolder(account), holders }));
--- a/src/daemons/directRouter/placementSharer.ts
+++ b/src/daemons/directRouter/placementSharer.ts
@@ -1,7 +1,6 @@
 /**
- * Tells the other routers what this one sends to which model engine, and hears the same of them: all of them read from
- * one queue, and a part of a prompt that one router's request has brought there is kept for the others' too. Among many
- * routers it goes through the relays of their groups (see routerGroups.ts), which pass on what has gathered.
+ * Exchanges placements with the other routers, because all routers share each upstream's queue and prompt cache. In
+ * large fleets, placements are batched and forwarded by group relays (see `routerGroups.ts`).
  */
 import { createRouterGroups, findGroupLinks, type GroupLinks, type RouterContact } from "../../domain/routerGroups.js";
 import type { Placement, PromptPart, UpstreamLoad } from "../../domain/upstreamLoad.js";
@@ -18,62 +17,60 @@
 
 /** Times in milliseconds. */
 export interface PlacementSharerOptions {
-    /** How long placements gather before they are told. */
+    /** Time for which placements are batched before they are sent. */
     readonly gatherMs: number;
-    /** The same at the relay of a group. */
+    /** Batching time at a group relay. */
     readonly relayGatherMs: number;
-    /** Prompts that leave less to read are not told of, in tokens. */
+    /** Minimum number of uncached prompt tokens for a placement to be shared. */
     readonly leastTokens: number;
 }
 
-/** A placement of this router, or one that is passed on for others. */
-interface Outgoing {
+/** A placement made by this router, or one that it forwards as a relay. */
+interface OutgoingPlacement {
     readonly placement: SharedPlacement;
     readonly passTo: Exclude<PlacementScope, "none">;
 }
 
 export class PlacementSharer {
     private groups: readonly (readonly string[])[] = [];
-    private links: GroupLinks = { relay: undefined, members: [], otherRelays: [] };
-    private outgoing: Outgoing[] = [];
-    private isFlushDue = false;
+    private groupLinks: GroupLinks = { relay: undefined, members: [], otherRelays: [] };
+    private pending: OutgoingPlacement[] = [];
+    private isFlushScheduled = false;
 
-    /** `self`: this router's own contact. */
     constructor(
         private readonly self: RouterContact,
-        private readonly load: UpstreamLoad,
-        private readonly routers: RouterLinks,
+        private readonly upstreamLoad: UpstreamLoad,
+        private readonly routerLinks: RouterLinks,
         private readonly clock: Clock,
         private readonly log: Log,
         private readonly options: PlacementSharerOptions,
     ) {
-        routers.onReachableChanged(() => this.updateLinks());
+        routerLinks.onReachabilityChange(() => this.updateGroupLinks());
     }
 
     addHandlers(handlers: PeerHandlers): void {
         handlers.add(placementNoticeMethod, ({ passTo, placements }) => this.receive(passTo, placements));
     }
 
-    /** Takes the other routers. */
     setOthers(others: readonly RouterContact[]): void {
         const all = [this.self, ...others];
         this.groups = createRouterGroups(all);
-        this.routers.forgetExcept(new Set(all.map(({ address }) => address)));
-        this.updateLinks();
+        this.routerLinks.pruneUnreachable(new Set(all.map(({ address }) => address)));
+        this.updateGroupLinks();
     }
 
-    /** Tries again to connect to those that were not reached. */
-    keepLinks(): void {
-        this.routers.keep(this.listLinked());
+    /** Retries failed connections to the routers that this one sends to. */
+    reconcileLinks(): void {
+        this.routerLinks.reconcile(this.listLinkTargets());
     }
 
-    /** Tells the others of a placement soon. */
+    /** Queues a placement for the next batch. */
     share({ upstream, newTokens, beyondMs }: Placement, parts: readonly PromptPart[]): void {
         if (newTokens >= this.options.leastTokens) {
             const router = this.self.address;
             const { id, bornAt } = upstream;
             const placement = { router, upstream: id, bornAt, newTokens, beyondMs, parts: parts.map(part => part.id) };
-            this.addOutgoing({ placement, passTo: "all" });
+            this.enqueue({ placement, passTo: "all" });
         }
     }
 
@@ -84,73 +81,81 @@
             if (router === this.self.address) {
                 continue;
             }
-            this.load.recordOther({ id: upstream, bornAt }, newTokens, beyondMs, parts, now);
+            this.upstreamLoad.recordOther({ id: upstream, bornAt }, newTokens, beyondMs, parts, now);
             if (passTo !== "none") {
-                this.addOutgoing({ placement, passTo });
+                this.enqueue({ placement, passTo });
             }
         }
     }
 
-    /** What is beyond the most that one notice holds is not told. */
-    private addOutgoing(outgoing: Outgoing): void {
-        const hasReceivers = this.links.members.length > 0 || this.links.otherRelays.length > 0;
-        if (!hasReceivers || this.outgoing.length >= MAX_NOTICE_PLACEMENTS) {
+    /** Drops the placement if there are no recipients or the batch already fills one notice. */
+    private enqueue(entry: OutgoingPlacement): void {
+        const hasRecipients = this.groupLinks.members.length > 0 || this.groupLinks.otherRelays.length > 0;
+        if (!hasRecipients || this.pending.length >= MAX_NOTICE_PLACEMENTS) {
             return;
         }
-        this.outgoing.push(outgoing);
-        if (!this.isFlushDue) {
-            this.isFlushDue = true;
-            void this.flushSoon();
+        this.pending.push(entry);
+        if (!this.isFlushScheduled) {
+            this.isFlushScheduled = true;
+            void this.flushAfterDelay();
         }
     }
 
-    private async flushSoon(): Promise<void> {
+    private async flushAfterDelay(): Promise<void> {
         const { gatherMs, relayGatherMs } = this.options;
-        const isGroupRelay = this.links.relay === undefined && this.links.members.length > 0;
+        const isGroupRelay = this.groupLinks.relay === undefined && this.groupLinks.members.length > 0;
         await this.clock.wait(isGroupRelay ? relayGatherMs : gatherMs);
-        const outgoing = this.outgoing;
-        this.outgoing = [];
-        this.isFlushDue = false;
-        const { relay } = this.links;
+        const batch = this.pending;
+        this.pending = [];
+        this.isFlushScheduled = false;
+        const { relay } = this.groupLinks;
         if (relay === undefined) {
-            this.pass(outgoing);
+            this.forward(batch);
             return;
         }
-        const isOwn = ({ placement }: Outgoing): boolean => placement.router === this.self.address;
-        this.tell([relay], "all", outgoing.filter(isOwn));
-        // What else there is comes from a router that takes this one for the relay.
-        this.pass(outgoing.filter(entry => !isOwn(entry)));
+        const isOwn = ({ placement }: OutgoingPlacement): boolean => placement.router === this.self.address;
+        this.sendNotice([relay], "all", batch.filter(isOwn));
+        // The rest was sent by routers that consider this one their relay.
+        this.forward(batch.filter(entry => !isOwn(entry)));
     }
 
-    /** Tells this router's group, and the other groups what they have not heard. */
-    private pass(outgoing: readonly Outgoing[]): void {
-        this.tell(this.links.members, "none", outgoing);
-        this.tell(this.links.otherRelays, "group", outgoing.filter(({ passTo }) => passTo === "all"));
+    /** Sends placements to the members of this router's group, and those of scope "all" to the other groups' relays. */
+    private forward(batch: readonly OutgoingPlacement[]): void {
+        this.sendNotice(this.groupLinks.members, "none", batch);
+        this.sendNotice(this.groupLinks.otherRelays, "group", batch.filter(({ passTo }) => passTo === "all"));
     }
 
-    /** Who cannot be told now is not told later: by then the prompts have been read. */
-    private tell(addresses: readonly string[], passTo: PlacementScope, outgoing: readonly Outgoing[]): void {
-        if (outgoing.length > 0) {
-            const placements = outgoing.map(({ placement }) => placement);
-            this.routers.notify(addresses, placementNoticeMethod, { passTo, placements });
+    /** Skips routers that are not connected: placements would be obsolete once a connection is established. */
+    private sendNotice(
+        addresses: readonly string[],
+        passTo: PlacementScope,
+        batch: readonly OutgoingPlacement[],
+    ): void {
+        if (batch.length > 0) {
+            const placements = batch.map(({ placement }) => placement);
+            this.routerLinks.notify(addresses, placementNoticeMethod, { passTo, placements });
         }
     }
 
-    private updateLinks(): void {
-        const before = this.links.relay;
-        this.links = findGroupLinks(this.self.address, this.groups, address => this.routers.isReachable(address));
-        if (this.links.relay !== before) {
-            this.log.info("placement_relay_changed", { relay: this.links.relay ?? this.self.address });
+    private updateGroupLinks(): void {
+        const previousRelay = this.groupLinks.relay;
+        this.groupLinks = findGroupLinks(
+            this.self.address,
+            this.groups,
+            address => this.routerLinks.isReachable(address),
+        );
+        if (this.groupLinks.relay !== previousRelay) {
+            this.log.info("placement_relay_changed", { relay: this.groupLinks.relay ?? this.self.address });
         }
-        this.keepLinks();
+        this.reconcileLinks();
     }
 
     /**
-     * Whom this router tells as long as nothing changes, and the rest of its group: it borrows tokens from them. With
-     * connections opened only then, 17 loans of 21 routers came to nothing in the first 1.5 s of traffic (60 ms for each).
+     * Lists the routers to stay connected to. Group members are always included because this router borrows tokens from
+     * them, and the timeout of a loan may be too short to also establish a connection.
      */
-    private listLinked(): string[] {
-        const { relay, members, otherRelays } = this.links;
+    private listLinkTargets(): string[] {
+        const { relay, members, otherRelays } = this.groupLinks;
         return relay === undefined ? [...members, ...otherRelays] : [...members];
     }
 }
--- a/src/daemons/directRouter/routerLinks.ts
+++ b/src/daemons/directRouter/routerLinks.ts
@@ -1,67 +1,67 @@
-/** Connections to other routers that are kept open to tell them things without waiting for an answer. */
+/** Maintains connections to other routers for one-way notifications. */
 import type { Log } from "../../ports/log.js";
 import type { Peer, PeerMethod, PeerNetwork } from "../../ports/peer.js";
 
 interface Link {
     readonly peer: Peer;
-    /** Takes back the handler that makes the connection count as waited on. */
-    readonly release: () => void;
+    /** Unregisters the close handler, which also stops the detection of a silently broken connection. */
+    readonly removeCloseHandler: () => void;
 }
 
 export class RouterLinks {
     private readonly links = new Map<string, Link>();
     private readonly connecting = new Set<string>();
-    /** Kept addresses whose connection was lost, or could not be made the last time. */
-    private readonly unreached = new Set<string>();
-    private kept: readonly string[] = [];
-    private reachableChanged: () => void = () => undefined;
+    /** Addresses whose connection was lost, or whose last connection attempt failed. */
+    private readonly unreachable = new Set<string>();
+    private targets: readonly string[] = [];
+    private reachabilityHandler: () => void = () => undefined;
 
     constructor(private readonly network: PeerNetwork, private readonly log: Log) {}
 
-    /** Calls back when a router that was kept is lost, or is reached again. */
-    onReachableChanged(handler: () => void): void {
-        this.reachableChanged = handler;
+    /** Sets the handler that is called when a router becomes unreachable, or reachable again. */
+    onReachabilityChange(handler: () => void): void {
+        this.reachabilityHandler = handler;
     }
 
-    /** Keeps connections to these addresses, and tries again those that were not reached; leaves the others alone. */
-    keep(addresses: readonly string[]): void {
-        this.kept = addresses;
+    /** Connects to these addresses, retries all unreachable ones, and releases all other connections. */
+    reconcile(addresses: readonly string[]): void {
+        this.targets = addresses;
         for (const [address, link] of this.links) {
             if (!addresses.includes(address)) {
-                link.release();
+                link.removeCloseHandler();
                 this.links.delete(address);
             }
         }
-        [...addresses, ...this.unreached].forEach(address => this.tryGetPeer(address));
+        [...addresses, ...this.unreachable].forEach(address => this.tryGetPeer(address));
     }
 
-    /** Forgets that routers were not reached, of those that are no longer there. */
-    forgetExcept(known: ReadonlySet<string>): void {
-        for (const address of this.unreached) {
+    /** Discards the unreachable state of routers that are no longer known. */
+    pruneUnreachable(known: ReadonlySet<string>): void {
+        for (const address of this.unreachable) {
             if (!known.has(address)) {
-                this.unreached.delete(address);
+                this.unreachable.delete(address);
             }
         }
     }
 
-    /** False where a router was lost or not reached; those that nobody has tried count as reachable. */
+    /** Returns whether a router is considered reachable, which includes routers that no connection was attempted to. */
     isReachable(address: string): boolean {
-        return !this.unreached.has(address);
+        return !this.unreachable.has(address);
     }
 
-    /** Tells those that are connected now. */
+    /** Notifies the routers that are currently connected. */
     notify<P>(addresses: readonly string[], method: PeerMethod<P, void>, params: P): void {
         addresses.forEach(address => this.tryNotify(address, method, params));
     }
 
-    /** Tells one that is connected now. Answers whether it was told; it may not hear it all the same. */
+    /** Notifies a router if it is connected. Returns whether the notification was sent; delivery is not guaranteed. */
     tryNotify<P>(address: string, method: PeerMethod<P, void>, params: P): boolean {
         const peer = this.tryGetPeer(address);
         peer?.notify(method, params);
         return peer !== undefined;
     }
 
-    /** The connection to a router; one is begun where there is none. */
+    /** Returns the open connection to a router; if there is none, starts connecting and returns undefined. */
     private tryGetPeer(address: string): Peer | undefined {
         const peer = this.links.get(address)?.peer;
         if (peer?.isOpen()) {
@@ -77,38 +77,38 @@
         this.connecting.add(address);
         try {
             const peer = await this.network.connect(address);
-            // Counts as waiting on the connection, so that one that was cut without a sign is closed in time.
-            const release = peer.onClose(() => this.noteLost(address));
-            this.links.set(address, { peer, release });
-            this.noteReached(address);
+            // The handler marks the connection as in use, so that a silently broken one is detected and closed.
+            const removeCloseHandler = peer.onClose(() => this.handleClose(address));
+            this.links.set(address, { peer, removeCloseHandler });
+            this.recordReachable(address);
         }
         catch (error) {
-            this.noteUnreached(address, String(error));
+            this.recordUnreachable(address, String(error));
         }
         finally {
             this.connecting.delete(address);
         }
     }
 
-    private noteReached(address: string): void {
-        if (this.unreached.delete(address)) {
-            this.reachableChanged();
+    private recordReachable(address: string): void {
+        if (this.unreachable.delete(address)) {
+            this.reachabilityHandler();
         }
     }
 
-    private noteLost(address: string): void {
+    private handleClose(address: string): void {
         this.links.delete(address);
-        if (this.kept.includes(address)) {
-            this.noteUnreached(address, "connection lost");
+        if (this.targets.includes(address)) {
+            this.recordUnreachable(address, "connection lost");
         }
     }
 
-    /** Logs once until the router is reached again. */
-    private noteUnreached(address: string, error: string): void {
-        if (!this.unreached.has(address)) {
-            this.unreached.add(address);
+    /** Logs and calls the handler only on the transition to unreachable. */
+    private recordUnreachable(address: string, error: string): void {
+        if (!this.unreachable.has(address)) {
+            this.unreachable.add(address);
             this.log.info("router_not_told", { router: address, error });
-            this.reachableChanged();
+            this.reachabilityHandler();
         }
     }
 }
--- a/test/daemons/placementSharer.test.ts
+++ b/test/daemons/placementSharer.test.ts
@@ -1,4 +1,4 @@
-/** Placements are told to the other routers that can be reached, and those told of are waited for. */
+/** Sending placements to reachable routers, and recording and validating received ones. */
 import t from "tap";
 import { PlacementSharer } from "../../src/daemons/directRouter/placementSharer.js";
 import { RouterLinks } from "../../src/daemons/directRouter/routerLinks.js";
@@ -8,18 +8,18 @@
 import { FakeClock, settlePromises } from "../tools/fakes.js";
 
 const UPSTREAM = { id: "u", service: "s", address: "u:1", zone: "z", slots: 4, state: "ready", sequence: 1 } as const;
-const LEAST_TOKENS = 500;
+const MIN_TOKENS = 500;
 
-/** Keeps what it is told. */
-class HearingPeer extends Peer {
+/** Records notifications. */
+class RecordingPeer extends Peer {
     override readonly identity: PeerIdentity = { name: "r2", role: "router", zone: "z", incarnation: "i" };
-    readonly heard: unknown[] = [];
+    readonly notices: unknown[] = [];
 
     override call(): Promise<never> {
         return Promise.reject(new Error("not used"));
     }
     override notify<P>(_method: PeerMethod<P, void>, params: P): void {
-        this.heard.push(params);
+        this.notices.push(params);
     }
     override onClose(): () => void {
         return () => undefined;
@@ -29,9 +29,9 @@
     }
 }
 
-/** Reaches one router. */
-class SmallNetwork extends PeerNetwork {
-    readonly peer = new HearingPeer();
+/** Connects to `r2` only. */
+class SinglePeerNetwork extends PeerNetwork {
+    readonly peer = new RecordingPeer();
 
     override connect(address: string): Promise<Peer> {
         return address === "r2" ? Promise.resolve(this.peer) : Promise.reject(new Error("unreachable"));
@@ -39,36 +39,36 @@
 }
 
 function createSharer() {
-    const network = new SmallNetwork();
+    const network = new SinglePeerNetwork();
     const recorded: unknown[][] = [];
     const logged: string[] = [];
     const log: Log = { info: event => logged.push(event), warn: () => undefined, error: () => undefined };
     const load = { recordOther: (...args: unknown[]) => recorded.push(args) } as unknown as UpstreamLoad;
-    const options = { gatherMs: 1, relayGatherMs: 1, leastTokens: LEAST_TOKENS };
+    const options = { gatherMs: 1, relayGatherMs: 1, leastTokens: MIN_TOKENS };
     const links = new RouterLinks(network, log);
     const sharer = new PlacementSharer({ address: "r1", zone: "z" }, load, links, new FakeClock(), log, options);
     return { sharer, network, recorded, logged };
 }
 
-void t.test("what gathers is told at once to all that can be reached, short prompts not", async t => {
+void t.test("placements are sent in one batch to reachable routers, except for short prompts", async t => {
     const { sharer, network, logged } = createSharer();
     sharer.setOthers([{ address: "r2", zone: "z" }, { address: "r3", zone: "z" }]);
     await settlePromises();
     sharer.share({ upstream: UPSTREAM, newTokens: 900, aheadMs: 0, beyondMs: 0 }, [{ id: "p", tokens: 900 }]);
     sharer.share({ upstream: UPSTREAM, newTokens: 700, aheadMs: 0, beyondMs: 3 }, []);
-    sharer.share({ upstream: UPSTREAM, newTokens: LEAST_TOKENS - 1, aheadMs: 0, beyondMs: 0 }, []);
+    sharer.share({ upstream: UPSTREAM, newTokens: MIN_TOKENS - 1, aheadMs: 0, beyondMs: 0 }, []);
     await settlePromises();
-    t.same(network.peer.heard, [{
+    t.same(network.peer.notices, [{
         passTo: "group",
         placements: [
             { router: "r1", upstream: "u", newTokens: 900, beyondMs: 0, parts: ["p"] },
             { router: "r1", upstream: "u", newTokens: 700, beyondMs: 3, parts: [] },
         ],
     }]);
-    t.same(logged, ["router_not_told"], "once, not with each placement");
+    t.same(logged, ["router_not_told"], "logged once, not per placement");
 });
 
-void t.test("what another router tells is recorded; what does not fit is refused by a number", async t => {
+void t.test("valid placements of other routers are recorded; malformed ones are refused with a result code", async t => {
     const { sharer, network, recorded } = createSharer();
     const handlers = new PeerHandlers();
     sharer.addHandlers(handlers);
--- a/test/daemons/placementSpread.test.ts
+++ b/test/daemons/placementSpread.test.ts
@@ -1,4 +1,4 @@
-/** How placements spread among many routers: heard once by each, at a cost that grows with their number only. */
+/** Each router must receive each placement once, and the number of notices must be linear in the fleet size. */
 import t from "tap";
 import { PlacementSharer } from "../../src/daemons/directRouter/placementSharer.js";
 import { RouterLinks } from "../../src/daemons/directRouter/routerLinks.js";
@@ -11,14 +11,14 @@
 
 const NO_LOG: Log = { info: () => undefined, warn: () => undefined, error: () => undefined };
 const ZONES = ["a", "b", "c", "d", "e"];
-/** Enough turns for a placement to go through two relays. */
+/** Enough rounds for a placement to pass through two relays. */
 const SETTLE_ROUNDS = 20;
 
-/** Hands what is told to the handlers of one router, until it is lost. */
+/** Delivers notifications to the handlers of one router until it is disconnected. */
 class RouterPeer extends Peer {
     override readonly identity: PeerIdentity = { name: "", role: "router", zone: "", incarnation: "" };
     private readonly closeHandlers = new Set<() => void>();
-    private open = true;
+    private isConnected = true;
 
     constructor(private readonly fleet: Fleet, private readonly address: string) {
         super();
@@ -28,7 +28,7 @@
         return Promise.reject(new Error("not used"));
     }
     override notify<P>(method: PeerMethod<P, void>, params: P): void {
-        this.fleet.notices += 1;
+        this.fleet.noticeCount += 1;
         void this.fleet.handlers.get(this.address)?.handle(method.name, JSON.parse(JSON.stringify(params)), this);
     }
     override onClose(handler: () => void): () => void {
@@ -36,10 +36,10 @@
         return () => this.closeHandlers.delete(handler);
     }
     override isOpen(): boolean {
-        return this.open;
+        return this.isConnected;
     }
-    lose(): void {
-        this.open = false;
+    disconnect(): void {
+        this.isConnected = false;
         this.closeHandlers.forEach(handler => handler());
     }
 }
@@ -58,20 +58,20 @@
     }
 }
 
-/** Routers that tell each other placements, in memory. */
+/** Routers that exchange placements in memory. */
 class Fleet {
     readonly handlers = new Map<string, PeerHandlers>();
     readonly peers: { readonly address: string; readonly peer: RouterPeer; }[] = [];
     readonly sharers = new Map<string, PlacementSharer>();
-    /** How often each router heard of a placement at each upstream. */
-    readonly heard = new Map<string, string[]>();
-    notices = 0;
+    /** By router address: the upstream ids of the placements received. */
+    readonly receivedUpstreams = new Map<string, string[]>();
+    noticeCount = 0;
 
     constructor(readonly contacts: readonly RouterContact[]) {
         for (const self of contacts) {
-            const heard: string[] = [];
+            const received: string[] = [];
             const load = {
-                recordOther: (upstream: UpstreamLife) => heard.push(upstream.id),
+                recordOther: (upstream: UpstreamLife) => received.push(upstream.id),
             } as unknown as UpstreamLoad;
             const options = { gatherMs: 1, relayGatherMs: 1, leastTokens: 1 };
             const links = new RouterLinks(new FleetNetwork(this), NO_LOG);
@@ -80,7 +80,7 @@
             sharer.addHandlers(handlers);
             this.handlers.set(self.address, handlers);
             this.sharers.set(self.address, sharer);
-            this.heard.set(self.address, heard);
+            this.receivedUpstreams.set(self.address, received);
         }
         this.updateOthers();
     }
@@ -91,8 +91,8 @@
         }
     }
 
-    /** Each of the routers places one prompt, at an upstream of its own name. */
-    async placeAll(addresses: readonly string[]): Promise<void> {
+    /** Shares one placement per router, at an upstream named after the router. */
+    async sharePlacements(addresses: readonly string[]): Promise<void> {
         for (const address of addresses) {
             const upstream = {
                 id: `u-${address}`,
@@ -114,9 +114,9 @@
         }
     }
 
-    end(address: string): void {
+    terminate(address: string): void {
         this.handlers.delete(address);
-        this.peers.filter(entry => entry.address === address).forEach(({ peer }) => peer.lose());
+        this.peers.filter(entry => entry.address === address).forEach(({ peer }) => peer.disconnect());
     }
 }
 
@@ -128,43 +128,43 @@
 }
 
 for (const count of [2, 6, 12, 13, 30, 68, 150]) {
-    void t.test(`${count} routers hear once of every placement of the others`, async t => {
+    void t.test(`each of ${count} routers receives every placement of the others once`, async t => {
         const contacts = createContacts(count);
         const fleet = new Fleet(contacts);
         await fleet.settle();
         const addresses = contacts.map(({ address }) => address);
-        await fleet.placeAll(addresses);
+        await fleet.sharePlacements(addresses);
         for (const address of addresses) {
             const others = addresses.filter(other => other !== address).map(other => `u-${other}`);
-            t.same(fleet.heard.get(address)!.sort(), others, address);
+            t.same(fleet.receivedUpstreams.get(address)!.sort(), others, address);
         }
     });
 }
 
-void t.test("what one placement costs grows with the number of routers, not its square", async t => {
-    // Told by each to each, one placement of each of 68 routers came to 4,556 notices; relays that gather tell them in 280.
+void t.test("the number of notices is linear in the number of routers", async t => {
+    // Without relays, each router would notify all others: 68 * 67 notices.
     const contacts = createContacts(68);
     const fleet = new Fleet(contacts);
     await fleet.settle();
-    fleet.notices = 0;
-    await fleet.placeAll(contacts.map(({ address }) => address));
-    t.ok(fleet.notices <= 68 * 6, `${fleet.notices} notices`);
+    fleet.noticeCount = 0;
+    await fleet.sharePlacements(contacts.map(({ address }) => address));
+    t.ok(fleet.noticeCount <= 68 * 6, `${fleet.noticeCount} notices`);
 });
 
-void t.test("when relays end, the next routers of their groups take their place", async t => {
+void t.test("when relays terminate, the next routers of their groups replace them", async t => {
     const contacts = createContacts(30);
     const fleet = new Fleet(contacts);
     await fleet.settle();
-    const ended = contacts.slice(0, ZONES.length).map(({ address }) => address);
-    ended.forEach(address => fleet.end(address));
+    const terminated = contacts.slice(0, ZONES.length).map(({ address }) => address);
+    terminated.forEach(address => fleet.terminate(address));
     await fleet.settle();
     fleet.updateOthers();
     await fleet.settle();
-    const left = contacts.slice(ZONES.length).map(({ address }) => address);
-    fleet.heard.forEach(heard => heard.splice(0));
-    await fleet.placeAll(left);
-    for (const address of left) {
-        const others = left.filter(other => other !== address).map(other => `u-${other}`);
-        t.same(fleet.heard.get(address)!.sort(), others, address);
+    const remaining = contacts.slice(ZONES.length).map(({ address }) => address);
+    fleet.receivedUpstreams.forEach(received => received.splice(0));
+    await fleet.sharePlacements(remaining);
+    for (const address of remaining) {
+        const others = remaining.filter(other => other !== address).map(other => `u-${other}`);
+        t.same(fleet.receivedUpstreams.get(address)!.sort(), others, address);
     }
 });
--- a/test/daemons/prepaidBorrower.test.ts
+++ b/test/daemons/prepaidBorrower.test.ts
@@ -1,4 +1,4 @@
-/** Loans: the holder is asked first, one that does not answer is left out for a while, and what is left goes back once. */
+/** Loans between routers: order of lenders, backoff after failures, late responses and the return of unused tokens. */
 import t from "tap";
 import { PrepaidBorrower } from "../../src/daemons/directRouter/prepaidBorrower.js";
 import { RouterLinks } from "../../src/daemons/directRouter/routerLinks.js";
@@ -10,72 +10,80 @@
 import { testPurseOptions } from "../tools/prepaidWorld.js";
 
 const NO_LOG: Log = { info: () => undefined, warn: () => undefined, error: () => undefined };
-const NEVER_MS = 600_000;
+const BEYOND_TEST_MS = 600_000;
 const RANK = 0;
 const ACCOUNT = "a";
-/** Enough routers of one zone for a group with a holder. */
+/** Enough routers in one zone to form a group with a shared holder. */
 const CONTACTS = Array.from({ length: 14 }, (_, i) => ({ address: `r${i}`, zone: "z" }));
 
-/** Keeps what it is told, until it is lost. */
-class ToldPeer extends Peer {
+/** Records notifications. */
+class RecordingPeer extends Peer {
     override readonly identity: PeerIdentity = { name: "", role: "router", zone: "z", incarnation: "" };
-    readonly told: unknown[] = [];
+    readonly notices: unknown[] = [];
     private closeHandler: () => void = () => undefined;
-    private open = true;
+    private isConnected = true;
 
     override call(): Promise<never> {
         return Promise.reject(new Error("not used"));
     }
     override notify<P>(_method: PeerMethod<P, void>, params: P): void {
-        this.told.push(params);
+        this.notices.push(params);
     }
     override onClose(handler: () => void): () => void {
         this.closeHandler = handler;
         return () => this.closeHandler = () => undefined;
     }
     override isOpen(): boolean {
-        return this.open;
+        return this.isConnected;
     }
-    lose(): void {
-        this.open = false;
+    disconnect(): void {
+        this.isConnected = false;
         this.closeHandler();
     }
 }
 
-/** Every router lends all that it is asked for, but for the silent ones. */
+/** Routers lend what is requested, unless they are unreachable; slow ones respond when the test says so. */
 class LendingNetwork extends PeerNetwork {
-    readonly asked: string[] = [];
-    readonly silent = new Set<string>();
-    readonly late = new Set<string>();
-    readonly answerLate: (() => void)[] = [];
-    readonly peers = new Map<string, ToldPeer>();
+    readonly calledAddresses: string[] = [];
+    readonly unreachable = new Set<string>();
+    readonly slow = new Set<string>();
+    readonly delayedAnswers: (() => void)[] = [];
+    readonly peers = new Map<string, RecordingPeer>();
 
     override connect(address: string): Promise<Peer> {
-        if (this.silent.has(address)) {
-            return Promise.reject(new Error("silent"));
+        if (this.unreachable.has(address)) {
+            return Promise.reject(new Error("unreachable"));
         }
-        const peer = new ToldPeer();
+        const peer = new RecordingPeer();
         this.peers.set(address, peer);
         return Promise.resolve(peer);
     }
     override call<P, R>(address: string, _method: PeerMethod<P, R>, params: P): Promise<R> {
-        this.asked.push(address);
+        this.calledAddresses.push(address);
         const { tokens } = params as { tokens: number; };
-        if (this.late.has(address)) {
-            return new Promise(resolve => this.answerLate.push(() => resolve({ tokens } as R)));
+        if (this.slow.has(address)) {
+            return new Promise(resolve => this.delayedAnswers.push(() => resolve({ tokens } as R)));
         }
-        return this.silent.has(address) ? Promise.reject(new Error("silent")) : Promise.resolve({ tokens } as R);
+        return this.unreachable.has(address)
+            ? Promise.reject(new Error("unreachable"))
+            : Promise.resolve({ tokens } as R);
     }
 }
 
-function createBorrower(callTimeoutMs = NEVER_MS) {
+function createBorrower(callTimeoutMs = BEYOND_TEST_MS) {
     const holders = createHolders(CONTACTS.find(self => !createHolders(self).isHolder(ACCOUNT))!);
     const network = new LendingNetwork();
     const purse = new PrepaidPurse("r", "i", testPurseOptions);
     purse.setLimits([{ account: ACCOUNT, tokens: 100_000 }]);
     purse.setHoldings(() => ({ isHolder: false, holders: 1 }));
     const links = new RouterLinks(network, NO_LOG);
-    const options = { maxAsked: 6, callTimeoutMs, lateAnswerMs: NEVER_MS, avoidMs: NEVER_MS, returnPeriodMs: NEVER_MS };
+    const options = {
+        maxAsked: 6,
+        callTimeoutMs,
+        lateAnswerMs: BEYOND_TEST_MS,
+        avoidMs: BEYOND_TEST_MS,
+        returnPeriodMs: BEYOND_TEST_MS,
+    };
     const borrower = new PrepaidBorrower(purse, holders, network, links, NO_LOG, options);
     return { borrower, purse, network, links, holder: holders.tryFindNearest(ACCOUNT, () => true)! };
 }
@@ -86,33 +94,33 @@
     return holders;
 }
 
-void t.test("the holder is asked for what is missing; where it does not answer, the next, and not again soon", async t => {
+void t.test("the holder is asked for the shortfall, and skipped for the next router after a failure", async t => {
     const { borrower, purse, network, holder } = createBorrower();
     t.equal(await borrower.borrowFromHolder(ACCOUNT, 3_000, RANK), true);
-    t.same(network.asked, [holder]);
+    t.same(network.calledAddresses, [holder]);
     t.equal(purse.tryReserve(ACCOUNT, 3_000, RANK, performance.now()), "reserved");
-    network.silent.add(holder);
+    network.unreachable.add(holder);
     t.equal(await borrower.borrowFromHolder(ACCOUNT, 1_000, RANK), false);
     t.equal(await borrower.borrowFromHolder(ACCOUNT, 1_000, RANK), true);
-    t.equal(network.asked.length, 3);
-    t.not(network.asked[2], holder);
+    t.equal(network.calledAddresses.length, 3);
+    t.not(network.calledAddresses[2], holder);
 });
 
-void t.test("a loan that comes too late for its request is kept, and goes back", async t => {
+void t.test("a loan that arrives after the request timed out is kept and returned", async t => {
     const { borrower, purse, network, links, holder } = createBorrower(1);
-    network.late.add(holder);
+    network.slow.add(holder);
     t.equal(await borrower.borrowFromHolder(ACCOUNT, 3_000, RANK), false);
     t.same(purse.listLeftOfLoans(), []);
-    network.answerLate.forEach(answer => answer());
+    network.delayedAnswers.forEach(answer => answer());
     await settlePromises();
     t.same(purse.listLeftOfLoans(), [{ account: ACCOUNT, tokens: 3_000 }]);
-    links.keep([holder]);
+    links.reconcile([holder]);
     await settlePromises();
     borrower.returnLoans();
-    t.same(network.peers.get(holder)!.told, [{ accounts: [{ account: ACCOUNT, tokens: 3_000 }] }]);
+    t.same(network.peers.get(holder)!.notices, [{ accounts: [{ account: ACCOUNT, tokens: 3_000 }] }]);
 });
 
-void t.test("what is left of loans goes back to the holder once, and stays while the holder is not connected", async t => {
+void t.test("unused tokens are returned to the holder once, and only when it is connected", async t => {
     const { borrower, purse, network, links, holder } = createBorrower();
     await borrower.borrowFromHolder(ACCOUNT, 3_000, RANK);
     borrower.returnLoans();
@@ -120,25 +128,25 @@
     await settlePromises();
     borrower.returnLoans();
     borrower.returnLoans();
-    t.same(network.peers.get(holder)!.told, [{ accounts: [{ account: ACCOUNT, tokens: 3_000 }] }]);
+    t.same(network.peers.get(holder)!.notices, [{ accounts: [{ account: ACCOUNT, tokens: 3_000 }] }]);
     t.same(purse.listLeftOfLoans(), []);
     t.equal(links.isReachable(holder), true);
 });
 
-void t.test("a kept router whose connection is lost counts as unreached until it is connected again", async t => {
+void t.test("a target whose connection is lost is unreachable until reconnected", async t => {
     const { network, links } = createBorrower();
     let changes = 0;
-    links.onReachableChanged(() => changes += 1);
-    links.keep(["r1"]);
+    links.onReachabilityChange(() => changes += 1);
+    links.reconcile(["r1"]);
     await settlePromises();
-    network.silent.add("r1");
-    network.peers.get("r1")!.lose();
+    network.unreachable.add("r1");
+    network.peers.get("r1")!.disconnect();
     t.equal(links.isReachable("r1"), false);
-    links.keep(["r1"]);
+    links.reconcile(["r1"]);
     await settlePromises();
     t.equal(links.isReachable("r1"), false);
-    network.silent.delete("r1");
-    links.keep(["r1"]);
+    network.unreachable.delete("r1");
+    links.reconcile(["r1"]);
     await settlePromises();
     t.equal(links.isReachable("r1"), true);
     t.equal(changes, 2);
