--- a/src/daemons/directRouter/prepaidReporter.ts
+++ b/src/daemons/directRouter/prepaidReporter.ts
@@ -1,4 +1,4 @@
-/** Reports a router's prepaid tokens to the controllers, one report at a time, and hands the grants to the purse. */
+/** Reports a router's prepaid tokens to the controllers, one report at a time, and applies the grants to the purse. */
 import { Signal } from "../../consensus/signal.js";
 import type { PrepaidResult } from "../../domain/prepaidBook.js";
 import type { PrepaidPurse } from "../../domain/prepaidPurse.js";
@@ -9,32 +9,32 @@
 
 /** Times in milliseconds. */
 export interface PrepaidReporterOptions {
-    /** Pause between reports when nobody waits. */
+    /** Interval between reports when no request is waiting for a grant. */
     readonly periodMs: number;
-    /** Least pause between reports when requests wait for a grant. */
+    /** Minimum delay between reports when requests are waiting for a grant. */
     readonly urgentPauseMs: number;
     readonly callTimeoutMs: number;
-    /** How long a router that stops tries to give back what is left; the platform ends processes that take too long. */
+    /** Timeout of the final report on shutdown. Must be shorter than the platform's termination grace period. */
     readonly closingTimeoutMs: number;
 }
 
 export class PrepaidReporter {
-    /** How many routers share the accounts, as the newest answer said. */
+    /** Number of routers that share the accounts, from the latest response. */
     routers = 1;
-    private readonly urgent = new Signal();
-    private readonly granted = new Signal();
-    /** The controller that answered last. */
-    private preferred: string | undefined;
-    private stopped = false;
-    /** Somebody has asked for a report since the newest one was made. */
-    private isAsked = false;
-    /** Rounds of reports begun, and the newest one that was answered. */
-    private begun = 0;
-    private answered = 0;
-    /** When that answer arrived. Monotonic clock, milliseconds. */
-    private answeredAt = -Infinity;
-    /** Whether the newest report was taken, as far as the log says. */
-    private isReaching = true;
+    private readonly reportRequested = new Signal();
+    private readonly reportAnswered = new Signal();
+    /** The controller that responded to the last report; undefined after a failure. */
+    private preferredController: string | undefined;
+    private isStopped = false;
+    /** Whether a report has been requested since the latest one was created. */
+    private isReportRequested = false;
+    /** In each round, controllers are sent a report in turn until one responds. */
+    private lastStartedRound = 0;
+    private lastAnsweredRound = 0;
+    /** Monotonic clock, milliseconds. */
+    private lastAnsweredAt = -Infinity;
+    /** Outcome of the latest attempt, used to log only transitions. */
+    private hasLastAttemptSucceeded = true;
 
     constructor(
         private readonly purse: PrepaidPurse,
@@ -45,58 +45,58 @@
         private readonly options: PrepaidReporterOptions,
     ) {}
 
-    /** The reporter's one task. */
+    /** Sends reports periodically, or earlier on request, until stopped. */
     async run(): Promise<void> {
-        while (!this.stopped) {
+        while (!this.isStopped) {
             await this.sendReport(false);
             await this.clock.wait(this.options.urgentPauseMs);
-            if (!this.isAsked && !this.stopped) {
-                await this.urgent.wait(this.options.periodMs - this.options.urgentPauseMs);
+            if (!this.isReportRequested && !this.isStopped) {
+                await this.reportRequested.wait(this.options.periodMs - this.options.urgentPauseMs);
             }
         }
     }
 
-    /** Whether the newest report was answered lately. */
+    /** Whether a controller has responded within the last two report periods. */
     isInContact(): boolean {
-        return this.clock.getMonotonicMs() - this.answeredAt < this.options.periodMs * 2;
+        return this.clock.getMonotonicMs() - this.lastAnsweredAt < this.options.periodMs * 2;
     }
 
-    /** Asks for a report soon; the one under way does not tell of what has just changed. */
+    /** Schedules another report as soon as possible, since a report in progress does not include the latest changes. */
     askReport(): void {
-        this.isAsked = true;
-        this.urgent.notifyAll();
+        this.isReportRequested = true;
+        this.reportRequested.notifyAll();
     }
 
-    /** Asks for a report, and resolves when it has been answered, or after `timeoutMs`. */
+    /** Requests a report. Resolves when the response has been applied, or after `timeoutMs`. */
     async waitGrant(timeoutMs: number): Promise<void> {
-        const wanted = this.begun + 1;
-        const giveUpAt = this.clock.getMonotonicMs() + timeoutMs;
+        const targetRound = this.lastStartedRound + 1;
+        const deadline = this.clock.getMonotonicMs() + timeoutMs;
         this.askReport();
-        while (this.answered < wanted) {
-            const left = giveUpAt - this.clock.getMonotonicMs();
-            if (left <= 0) {
+        while (this.lastAnsweredRound < targetRound) {
+            const remainingMs = deadline - this.clock.getMonotonicMs();
+            if (remainingMs <= 0) {
                 return;
             }
-            await this.granted.wait(left);
+            await this.reportAnswered.wait(remainingMs);
         }
     }
 
-    /** Gives back what is left, as the router stops; where no controller is reached, it is written off in part. */
+    /** Returns unused tokens in a final report. If no controller responds, part of them is written off. */
     async stop(): Promise<void> {
-        this.stopped = true;
-        this.urgent.notifyAll();
+        this.isStopped = true;
+        this.reportRequested.notifyAll();
         await Promise.race([this.sendReport(true), this.clock.wait(this.options.closingTimeoutMs)]);
     }
 
-    /** Sends a report to one controller after the other until one answers. */
+    /** Sends a report to each controller in turn until one responds. */
     private async sendReport(closing: boolean): Promise<void> {
-        this.begun += 1;
-        const round = this.begun;
-        this.isAsked = false;
+        this.lastStartedRound += 1;
+        const round = this.lastStartedRound;
+        this.isReportRequested = false;
         if (!this.purse.hasAccounts()) {
             return;
         }
-        for (const address of this.getOrder()) {
+        for (const address of this.listControllers()) {
             const report = this.purse.createReport(this.clock.getMonotonicMs(), this.clock.getWallMs(), closing);
             try {
                 const { callTimeoutMs } = this.options;
@@ -105,40 +105,40 @@
                 return;
             }
             catch (error) {
-                this.preferred = undefined;
-                this.noteReaching(false, String(error));
+                this.preferredController = undefined;
+                this.logOutcomeChange(false, String(error));
             }
         }
     }
 
-    /** Hands an answer to the purse, and wakes those who wait for it. `round`: the round of the report. */
+    /** Applies a response to the purse and wakes the requests that wait for it. */
     private receiveAnswer(address: string, sequence: number, round: number, answer: PrepaidResult): void {
         this.purse.applyAnswer(sequence, answer.accounts, this.clock.getMonotonicMs());
         this.routers = Math.max(1, answer.routers);
-        this.preferred = address;
-        this.answeredAt = this.clock.getMonotonicMs();
-        this.answered = round;
-        this.noteReaching(true, "");
+        this.preferredController = address;
+        this.lastAnsweredAt = this.clock.getMonotonicMs();
+        this.lastAnsweredRound = round;
+        this.logOutcomeChange(true, "");
         if (answer.awaitsConfirmation) {
             this.askReport();
         }
-        this.granted.notifyAll();
+        this.reportAnswered.notifyAll();
     }
 
-    /** Logs once when reports are no longer taken, and once when they are again. */
-    private noteReaching(isReaching: boolean, error: string): void {
-        if (this.isReaching !== isReaching) {
-            this.isReaching = isReaching;
-            this.log.warn(isReaching ? "prepaid_reports_taken_again" : "prepaid_reports_not_taken", { error });
+    /** Logs only transitions between successful and failed attempts. */
+    private logOutcomeChange(hasSucceeded: boolean, error: string): void {
+        if (this.hasLastAttemptSucceeded !== hasSucceeded) {
+            this.hasLastAttemptSucceeded = hasSucceeded;
+            this.log.warn(hasSucceeded ? "prepaid_reports_taken_again" : "prepaid_reports_not_taken", { error });
         }
     }
 
-    /** Addresses of the controllers, the one that answered last first. */
-    private getOrder(): string[] {
+    /** Lists the controllers, starting with the preferred one. */
+    private listControllers(): string[] {
         const all = this.getControllers();
-        const { preferred } = this;
-        return preferred === undefined || !all.includes(preferred)
+        const { preferredController } = this;
+        return preferredController === undefined || !all.includes(preferredController)
             ? [...all]
-            : [preferred, ...all.filter(address => address !== preferred)];
+            : [preferredController, ...all.filter(address => address !== preferredController)];
     }
 }
--- a/test/daemons/prepaidReporter.test.ts
+++ b/test/daemons/prepaidReporter.test.ts
@@ -1,4 +1,4 @@
-/** Reports of prepaid tokens: a request that waits is heard, whatever the reporter is doing when it begins to wait. */
+/** Guards against reports that omit a waiting request, and against shutdown blocking on unreachable controllers. */
 import t from "tap";
 import { PrepaidReporter } from "../../src/daemons/directRouter/prepaidReporter.js";
 import type { PrepaidReportCommand } from "../../src/domain/bundleCommands.js";
@@ -11,13 +11,13 @@
 import { testPurseOptions } from "../tools/prepaidWorld.js";
 import { waitUntil } from "../tools/waiting.js";
 
-/** Longer than any test: a report that comes was asked for. */
-const NEVER_MS = 600_000;
-const PREPAID = 100_000;
+/** Longer than any test, so that periodic reports do not occur. */
+const BEYOND_TEST_MS = 600_000;
+const PREPAID_TOKENS = 100_000;
 const NO_LOG: Log = { info: () => undefined, warn: () => undefined, error: () => undefined };
 
-/** A controller whose answers are given one by one by the test. */
-class HeldNetwork extends PeerNetwork {
+/** Calls stay pending until the test answers them. */
+class ManualNetwork extends PeerNetwork {
     readonly reports: PrepaidReportCommand[] = [];
     private readonly answers: (() => void)[] = [];
 
@@ -36,25 +36,25 @@
     }
 }
 
-/** Grants what a report wants. */
+/** Grants everything that a report requests. */
 function createAnswer(report: PrepaidReportCommand): PrepaidResult {
     const accounts = report.accounts.map(({ account, committed, wanted }) => ({
         account,
         granted: committed + wanted,
-        free: PREPAID - committed - wanted,
-        prepaid: PREPAID,
+        free: PREPAID_TOKENS - committed - wanted,
+        prepaid: PREPAID_TOKENS,
         writtenOff: 0,
         burst: 0,
     }));
     return { type: "prepaid", taken: true, awaitsConfirmation: false, routers: 1, accounts };
 }
 
-const OPTIONS = { periodMs: NEVER_MS, urgentPauseMs: 1, callTimeoutMs: NEVER_MS };
+const OPTIONS = { periodMs: BEYOND_TEST_MS, urgentPauseMs: 1, callTimeoutMs: BEYOND_TEST_MS };
 
-void t.test("a request that begins to wait while a report is under way is in the next one, at once", async t => {
-    const network = new HeldNetwork();
+void t.test("a request that starts waiting during a report is included in the next one, sent immediately", async t => {
+    const network = new ManualNetwork();
     const purse = new PrepaidPurse("r1", "i1", testPurseOptions);
-    purse.setLimits([{ account: "a", tokens: PREPAID }]);
+    purse.setLimits([{ account: "a", tokens: PREPAID_TOKENS }]);
     const options = { ...OPTIONS, closingTimeoutMs: 500 };
     const reporter = new PrepaidReporter(purse, network, new SystemClock(), NO_LOG, () => ["c1"], options);
     const running = reporter.run();
@@ -62,28 +62,28 @@
 
     purse.addWaiting("a", 5_000);
     let isGranted = false;
-    void reporter.waitGrant(NEVER_MS).then(() => isGranted = true);
+    void reporter.waitGrant(BEYOND_TEST_MS).then(() => isGranted = true);
     network.answerNext();
     await settlePromises();
-    t.notOk(isGranted, "the report under way does not know of the request");
+    t.notOk(isGranted, "the report in progress does not include the request");
 
-    await waitUntil("a report that tells of it", () => network.reports.length === 2);
+    await waitUntil("a report that includes the request", () => network.reports.length === 2);
     t.equal(network.reports[1]!.accounts[0]!.committed, 5_000);
     network.answerNext();
     await waitUntil("the grant", () => isGranted);
 
     reporter.askReport();
-    await waitUntil("a last report", () => network.reports.length === 3);
+    await waitUntil("another report", () => network.reports.length === 3);
     const stopped = reporter.stop();
     network.answerNext();
     network.answerNext();
     await Promise.all([stopped, running]);
 });
 
-void t.test("a router that reaches no controller does not hold up its planned stop", async t => {
-    const network = new HeldNetwork();
+void t.test("unreachable controllers do not delay shutdown beyond the closing timeout", async t => {
+    const network = new ManualNetwork();
     const purse = new PrepaidPurse("r1", "i1", testPurseOptions);
-    purse.setLimits([{ account: "a", tokens: PREPAID }]);
+    purse.setLimits([{ account: "a", tokens: PREPAID_TOKENS }]);
     const options = { ...OPTIONS, closingTimeoutMs: 20 };
     const reporter = new PrepaidReporter(purse, network, new SystemClock(), NO_LOG, () => ["c1", "c2"], options);
     await reporter.stop();
