--- a/src/daemons/bundleController/bundleControllerDaemon.ts
+++ b/src/daemons/bundleController/bundleControllerDaemon.ts
@@ -83,7 +83,7 @@
         this.replica.addHandlers(handlers);
         this.keeper.addHandlers(handlers);
         handlers.add(followMethod, (params, peer) => this.follow(params, peer));
-        handlers.add(getBundleMethod, async ({ held }) => ({ bundle: await this.publisher.tryGetFor(held) }));
+        handlers.add(getBundleMethod, async ({ held }) => ({ bundle: await this.publisher.tryGetEncoded(held) }));
         handlers.add(upstreamNoticeMethod, notice => this.registrations.receive(notice.upstreams));
         handlers.add(reportEndsMethod, ({ report }) => this.upstreamEnds.takeReport(report));
         handlers.add(reportPrepaidMethod, ({ report }) => this.prepaid.takeReport(report));
--- a/src/daemons/bundleController/bundlePublisher.ts
+++ b/src/daemons/bundleController/bundlePublisher.ts
@@ -1,48 +1,48 @@
-/** What a controller gives to routers that ask for the bundle: the whole of it, or the change from one that it remembers. */
+/** Encodes the bundle for routers that request it, in full or as a diff against an earlier bundle that is retained. */
 import type { StoredBundle } from "../../domain/bundleStore.js";
 import { encodeBundle, type EncodedBundle } from "../../protocol/bundleTransfer.js";
 
-/** Earlier bundles that changes are computed from: a router that takes longer than so many versions gets the whole. */
-const MOST_EARLIER = 4;
-/** Most characters of earlier bundles that are remembered: ten of 1,700 routes each, a few MB of memory. */
-const MOST_EARLIER_LENGTH = 4 * 1024 * 1024;
+/** Maximum number of earlier bundles retained for diffs. A router that is further behind receives the full bundle. */
+const MAX_EARLIER_BUNDLES = 4;
+/** Maximum total length of the earlier bundles, in characters, to bound memory. */
+const MAX_EARLIER_CHARACTERS = 4 * 1024 * 1024;
 
 export class BundlePublisher {
     private newest: StoredBundle | undefined;
     /** Newest first. */
-    private earlier: StoredBundle[] = [];
-    /** What was made ready of the newest bundle, by the revision it is a change from: all routers ask for the same. */
-    private encoded = new Map<number | undefined, Promise<EncodedBundle>>();
+    private earlierBundles: StoredBundle[] = [];
+    /** Encodings of the newest bundle, shared by all routers. Keyed by the base revision; undefined for the full bundle. */
+    private encodingsByBase = new Map<number | undefined, Promise<EncodedBundle>>();
 
-    /** Takes the bundle that is in force now. */
+    /** Sets the current bundle and retains the previous one as a base for diffs. */
     setNewest(bundle: StoredBundle): void {
         if (this.newest !== undefined) {
-            this.earlier = selectRecent([this.newest, ...this.earlier]);
+            this.earlierBundles = selectRetained([this.newest, ...this.earlierBundles]);
         }
         this.newest = bundle;
-        this.encoded = new Map();
+        this.encodingsByBase = new Map();
     }
 
-    /** The newest bundle for a router that has `heldRevision`; undefined where there is none yet. */
-    async tryGetFor(heldRevision: number | undefined): Promise<EncodedBundle | undefined> {
-        const { newest, encoded } = this;
+    /** Encodes the newest bundle for a router that has `heldRevision`. Returns undefined if there is no bundle yet. */
+    async tryGetEncoded(heldRevision: number | undefined): Promise<EncodedBundle | undefined> {
+        const { newest, encodingsByBase } = this;
         if (newest === undefined) {
             return undefined;
         }
-        const base = this.earlier.find(({ revision }) => revision === heldRevision);
-        let answer = encoded.get(base?.revision);
-        if (answer === undefined) {
-            answer = encodeBundle(newest, base);
-            encoded.set(base?.revision, answer);
+        const base = this.earlierBundles.find(({ revision }) => revision === heldRevision);
+        let encoding = encodingsByBase.get(base?.revision);
+        if (encoding === undefined) {
+            encoding = encodeBundle(newest, base);
+            encodingsByBase.set(base?.revision, encoding);
         }
-        return answer;
+        return encoding;
     }
 }
 
-function selectRecent(bundles: readonly StoredBundle[]): StoredBundle[] {
+function selectRetained(bundles: readonly StoredBundle[]): StoredBundle[] {
     let length = 0;
-    return bundles.slice(0, MOST_EARLIER).filter(({ text }) => {
+    return bundles.slice(0, MAX_EARLIER_BUNDLES).filter(({ text }) => {
         length += text.length;
-        return length <= MOST_EARLIER_LENGTH;
+        return length <= MAX_EARLIER_CHARACTERS;
     });
 }
--- a/test/daemons/bundlePublisher.test.ts
+++ b/test/daemons/bundlePublisher.test.ts
@@ -1,4 +1,4 @@
-/** What a controller gives to routers, and what they make of it. */
+/** Tests the encoding of bundles, in full and as diffs, and their decoding by routers. */
 import t from "tap";
 import { BundlePublisher } from "../../src/daemons/bundleController/bundlePublisher.js";
 import type { StoredBundle } from "../../src/domain/bundleStore.js";
@@ -15,27 +15,27 @@
     return publisher;
 }
 
-void t.test("before the first bundle there is nothing to give", async t => {
-    t.equal(await new BundlePublisher().tryGetFor(undefined), undefined);
+void t.test("returns undefined before the first bundle", async t => {
+    t.equal(await new BundlePublisher().tryGetEncoded(undefined), undefined);
 });
 
-void t.test("a router gets the change from a bundle that is remembered, and the whole otherwise", async t => {
+void t.test("sends a diff against a retained bundle, and the full bundle otherwise", async t => {
     const publisher = createPublisher([1, 2, 3, 4, 5, 6].map(revision => createBundle(revision)));
     for (const [held, base] of [[5, 5], [2, 2], [1, undefined], [undefined, undefined], [9, undefined]] as const) {
-        const encoded = (await publisher.tryGetFor(held))!;
+        const encoded = (await publisher.tryGetEncoded(held))!;
         t.equal(encoded.base, base);
         t.same(decodeBundle(encoded, base === undefined ? undefined : createBundle(base)), createBundle(6));
     }
 });
 
-void t.test("long bundles are remembered up to a length", async t => {
+void t.test("limits the total length of the retained bundles", async t => {
     const publisher = createPublisher([1, 2, 3].map(revision => createBundle(revision, 100_000)));
-    t.equal((await publisher.tryGetFor(2))!.base, 2);
-    t.equal((await publisher.tryGetFor(1))!.base, undefined);
+    t.equal((await publisher.tryGetEncoded(2))!.base, 2);
+    t.equal((await publisher.tryGetEncoded(1))!.base, undefined);
 });
 
-void t.test("a change from a text that is not held is refused, and so is what cannot be read", async t => {
-    const encoded = (await createPublisher([createBundle(1), createBundle(2)]).tryGetFor(1))!;
+void t.test("rejects diffs against a different bundle and malformed encodings", async t => {
+    const encoded = (await createPublisher([createBundle(1), createBundle(2)]).tryGetEncoded(1))!;
     t.equal(encoded.base, 1);
     t.throws(() => decodeBundle(encoded, undefined), { message: /^LW3001 peerMalformed/ });
     t.throws(() => decodeBundle(encoded, createBundle(3)), { message: /^LW3001 peerMalformed/ });
