--- a/src/daemons/bundleController/bundleControllerDaemon.ts
+++ b/src/daemons/bundleController/bundleControllerDaemon.ts
@@ -86,7 +86,7 @@
         handlers.add(getBundleMethod, async ({ held }) => ({ bundle: await this.publisher.tryGetEncoded(held) }));
         handlers.add(upstreamNoticeMethod, notice => this.registrations.receive(notice.upstreams));
         handlers.add(reportEndsMethod, ({ report }) => this.upstreamEnds.takeReport(report));
-        handlers.add(reportPrepaidMethod, ({ report }) => this.prepaid.takeReport(report));
+        handlers.add(reportPrepaidMethod, ({ report }) => this.prepaid.handleReport(report));
     }
 
     start(): void {
--- a/src/daemons/bundleController/prepaidService.ts
+++ b/src/daemons/bundleController/prepaidService.ts
@@ -1,6 +1,6 @@
 /**
- * Takes routers' reports of their prepaid tokens to the log. The leader adds what only a clock can tell: how long an
- * earlier start of a router can have lived after its last reports.
+ * Records routers' reports of prepaid tokens in the replicated log. For a router that has restarted, the leader adds an upper
+ * bound on how long the previous process ran after its last reports, which is computed from clocks.
  */
 import { getLeaderAddress } from "../../consensus/leaderAddress.js";
 import type { ReplicatedLog } from "../../consensus/replicatedLog.js";
@@ -12,15 +12,14 @@
 import type { PeerNetwork } from "../../ports/peer.js";
 import { reportPrepaidMethod } from "../../protocol/fleetMethods.js";
 
-/** How long a report may take from here to the leader and back, in milliseconds. */
+/** Timeout for forwarding a report to the leader. */
 const FORWARD_TIMEOUT_MS = 900;
-/** How often, and of how many accounts, the leader logs what is left. */
 const LOG_PERIOD_MS = 5_000;
-const LOGGED_ACCOUNTS = 10;
+const MAX_LOGGED_ACCOUNTS = 10;
 
-/** Each controller has one; only the leader's proposes. */
+/** Runs on every controller. Only the leader's instance proposes; the others forward reports to it. */
 export class PrepaidService {
-    private readonly lives = new RouterLives();
+    private readonly processLifetimes = new RouterLives();
 
     constructor(
         private readonly replica: ReplicatedLog,
@@ -28,20 +27,20 @@
         private readonly log: Log,
     ) {}
 
-    /** The leader's task: logs how much of the scarcest accounts is left. */
+    /** Periodically logs the accounts with the lowest fraction of free tokens, on the leader. */
     async runLogging(clock: Clock): Promise<void> {
         while (!this.replica.isStopped()) {
             await clock.wait(LOG_PERIOD_MS);
             if (this.replica.isLeader()) {
-                for (const state of this.replica.state.prepaid.listScarcest(LOGGED_ACCOUNTS)) {
+                for (const state of this.replica.state.prepaid.listScarcest(MAX_LOGGED_ACCOUNTS)) {
                     this.log.info("prepaid_account", { ...state });
                 }
             }
         }
     }
 
-    /** Takes a report at any controller. Throws noMajority or changeUnknown. */
-    async takeReport(report: PrepaidReportCommand): Promise<PrepaidResult> {
+    /** Records a report, on any controller. Throws noMajority or changeUnknown. */
+    async handleReport(report: PrepaidReportCommand): Promise<PrepaidResult> {
         if (this.replica.isLeader()) {
             return this.proposeReport(report);
         }
@@ -50,22 +49,25 @@
     }
 
     private async proposeReport(report: PrepaidReportCommand): Promise<PrepaidResult> {
-        const predecessor = await this.tryMeasurePredecessor(report);
+        const predecessor = await this.tryMeasurePredecessorLifetime(report);
         const { result } = await this.replica.propose({ ...report, predecessor });
         return result as PrepaidResult;
     }
 
-    private async tryMeasurePredecessor(report: PrepaidReportCommand): Promise<PrepaidReportCommand["predecessor"]> {
-        const reports = this.replica.state.prepaid.tryGetPredecessor(report.router, report.incarnation);
-        if (reports === undefined) {
+    /** Returns undefined if no previous process of the router has open grants, or if its lifetime cannot be bounded. */
+    private async tryMeasurePredecessorLifetime(
+        report: PrepaidReportCommand,
+    ): Promise<PrepaidReportCommand["predecessor"]> {
+        const predecessorReports = this.replica.state.prepaid.tryGetPredecessor(report.router, report.incarnation);
+        if (predecessorReports === undefined) {
             return undefined;
         }
         const { entryAges } = this.replica;
         const [newest, answered] = await Promise.all([
-            entryAges.gather(reports.newest.index),
-            reports.answered === undefined ? undefined : entryAges.gather(reports.answered.index),
+            entryAges.gather(predecessorReports.newest.index),
+            predecessorReports.answered === undefined ? undefined : entryAges.gather(predecessorReports.answered.index),
         ]);
-        const predecessor = this.lives.measure(reports, report, { newest, answered });
+        const predecessor = this.processLifetimes.measure(predecessorReports, report, { newest, answered });
         this.log.info("router_replaced", {
             router: report.router,
             incarnation: report.incarnation,
