--- a/test/platform/evacuations.test.ts
+++ b/test/platform/evacuations.test.ts
@@ -1,4 +1,4 @@
-/** The evacuation of an availability zone, from the operator's order to the routers that obey, and through restarts. */
+/** Tests the evacuation of availability zones, from the operator's request to routing, and its persistence over restarts. */
 import t from "tap";
 import { request } from "undici";
 import { DirectFleet } from "../tools/directFleet.js";
@@ -8,23 +8,27 @@
 const NETWORK = 89;
 const CONTROLLERS = ["c1", "c2", "c3"];
 const fleet = new DirectFleet(NETWORK);
-/** How often an engine reports, in milliseconds. */
-const REPORT_MS = 300;
-const reports: NodeJS.Timeout[] = [];
-let lastId = 0;
+const REPORT_PERIOD_MS = 300;
+const reportTimers: NodeJS.Timeout[] = [];
+let lastAttemptNumber = 0;
 
-interface Answer {
+interface RouterAnswer {
     readonly status: number;
     readonly retryAfter: string | undefined;
-    /** The engine that answered. */
+    /** Id of the engine that answered; undefined if the request was refused. */
     readonly engine: string | undefined;
 }
 
-async function callRouter(router: string): Promise<Answer> {
-    lastId += 1;
+async function callRouter(router: string): Promise<RouterAnswer> {
+    lastAttemptNumber += 1;
     const answer = await request(fleet.getCallerUrl(router, "/s/x"), {
         method: "POST",
-        headers: { "Host": "api.example", "Attempt-Id": `a${lastId}`, "Credential": "key-1", "Token-Usage": "10,5" },
+        headers: {
+            "Host": "api.example",
+            "Attempt-Id": `a${lastAttemptNumber}`,
+            "Credential": "key-1",
+            "Token-Usage": "10,5",
+        },
         body: "{}",
     });
     await answer.body.dump();
@@ -35,14 +39,18 @@
     };
 }
 
-async function order(controller: string, method: "POST" | "DELETE", zone: string): Promise<number> {
+async function sendEvacuation(controller: string, method: "POST" | "DELETE", zone: string): Promise<number> {
     const url = fleet.getOperatorUrl(controller, `/loomwinch/evacuations/${zone}`);
     return (await fleet.call(method, url)).status;
 }
 
-/** Orders again until it is acknowledged, as operators do. */
-async function orderUntilDone(controller: string, method: "POST" | "DELETE", zone: string): Promise<void> {
-    await waitUntil(`${method} ${zone}`, async () => await order(controller, method, zone) === 200);
+/** Retries until the request is acknowledged, as operators do. */
+async function sendEvacuationUntilAcknowledged(
+    controller: string,
+    method: "POST" | "DELETE",
+    zone: string,
+): Promise<void> {
+    await waitUntil(`${method} ${zone}`, async () => await sendEvacuation(controller, method, zone) === 200);
 }
 
 async function startEngine(id: string, box: string, zone: string): Promise<void> {
@@ -57,7 +65,7 @@
         const urls = CONTROLLERS.map(box => fleet.getOperatorUrl(box, `/loomwinch/instances/${id}`));
         await Promise.allSettled(urls.map(url => fleet.call("PUT", url, body)));
     };
-    reports.push(setInterval(() => void report(), REPORT_MS));
+    reportTimers.push(setInterval(() => void report(), REPORT_PERIOD_MS));
     await report();
 }
 
@@ -71,9 +79,9 @@
     );
 }
 
-/** The engines that answer some requests, each once, and the statuses. */
-async function listAnswers(router: string) {
-    const answers: Answer[] = [];
+/** Sends several requests and returns the distinct engines and statuses of the answers. */
+async function sendRequests(router: string) {
+    const answers: RouterAnswer[] = [];
     for (let i = 0; i < 12; i++) {
         answers.push(await callRouter(router));
     }
@@ -81,17 +89,17 @@
     return { engines, statuses: [...new Set(answers.map(({ status }) => status))] };
 }
 
-async function waitInForce(router: string, engines: readonly (string | undefined)[]): Promise<void> {
+async function waitUntilEnginesUsed(router: string, engines: readonly (string | undefined)[]): Promise<void> {
     await waitUntil(
         `${router} sends to ${engines.join()}`,
-        async () => (await listAnswers(router)).engines.join() === engines.join(),
+        async () => (await sendRequests(router)).engines.join() === engines.join(),
     );
 }
 
-void t.test("the evacuation of a zone", async t => {
+void t.test("zone evacuation", async t => {
     await fleet.open();
     t.teardown(async () => {
-        reports.forEach(clearInterval);
+        reportTimers.forEach(clearInterval);
         await fleet.close();
     });
     await Promise.all(CONTROLLERS.map(box => fleet.startController(box, true)));
@@ -100,47 +108,47 @@
     await startEngine("e2", "r12", "there");
     await Promise.all(["r1", "r2"].map(startRouter));
 
-    await t.test("is acknowledged by any controller, again and again, and obeyed by all routers", async t => {
-        t.equal(await order("c2", "POST", "here"), 200);
-        t.equal(await order("c3", "POST", "here"), 200);
+    await t.test("is idempotent on any controller and applied by all routers", async t => {
+        t.equal(await sendEvacuation("c2", "POST", "here"), 200);
+        t.equal(await sendEvacuation("c3", "POST", "here"), 200);
         for (const router of ["r1", "r2"]) {
-            await waitInForce(router, ["e2"]);
+            await waitUntilEnginesUsed(router, ["e2"]);
         }
     });
 
-    await t.test("outlives all controllers, and is known to a router that starts anew", async t => {
+    await t.test("persists over a restart of all controllers and applies to a restarted router", async t => {
         await Promise.all(CONTROLLERS.map(box => fleet.stopController(box)));
         await Promise.all(CONTROLLERS.map(box => fleet.startController(box, false)));
-        await waitUntil("the fleet is back", () => fleet.routers.get("r2")!.role.daemon.isReady());
+        await waitUntil("r2 is ready", () => fleet.routers.get("r2")!.role.daemon.isReady());
         await fleet.stopRouter("r1");
         await fleet.startRouter("r1");
         const { daemon } = fleet.routers.get("r1")!.role;
-        await waitUntil("ready", () => daemon.isReady());
-        t.notOk((await listAnswers("r1")).engines.includes("e1"));
-        t.same((await listAnswers("r2")).engines, ["e2"]);
+        await waitUntil("r1 is ready", () => daemon.isReady());
+        t.notOk((await sendRequests("r1")).engines.includes("e1"));
+        t.same((await sendRequests("r2")).engines, ["e2"]);
     });
 
-    await t.test("of the last zone has requests refused at once as not run, with when to come back", async t => {
-        await orderUntilDone("c1", "POST", "there");
-        await waitInForce("r2", [undefined]);
+    await t.test("refuses requests with a Retry-After header if all zones are evacuated", async t => {
+        await sendEvacuationUntilAcknowledged("c1", "POST", "there");
+        await waitUntilEnginesUsed("r2", [undefined]);
         const { status, retryAfter } = await callRouter("r2");
         t.equal(status, 503);
         t.ok(Number(retryAfter) > 0);
     });
 
-    await t.test("is withdrawn by any controller, again and again", async t => {
-        await orderUntilDone("c3", "DELETE", "there");
-        t.equal(await order("c2", "DELETE", "there"), 200);
-        t.equal(await order("c1", "DELETE", "here"), 200);
-        t.equal(await order("c1", "DELETE", "never-named"), 200);
-        await waitUntil("both zones are back", async () => (await listAnswers("r2")).statuses.join() === "200");
-        await orderUntilDone("c2", "POST", "there");
-        await waitInForce("r2", ["e1"]);
-        await orderUntilDone("c2", "DELETE", "there");
+    await t.test("can be ended on any controller, repeatedly", async t => {
+        await sendEvacuationUntilAcknowledged("c3", "DELETE", "there");
+        t.equal(await sendEvacuation("c2", "DELETE", "there"), 200);
+        t.equal(await sendEvacuation("c1", "DELETE", "here"), 200);
+        t.equal(await sendEvacuation("c1", "DELETE", "never-named"), 200);
+        await waitUntil("both zones are in service", async () => (await sendRequests("r2")).statuses.join() === "200");
+        await sendEvacuationUntilAcknowledged("c2", "POST", "there");
+        await waitUntilEnginesUsed("r2", ["e1"]);
+        await sendEvacuationUntilAcknowledged("c2", "DELETE", "there");
     });
 
-    await t.test("of a zone whose name cannot be read is refused", async t => {
-        t.equal(await order("c1", "POST", "%ZZ"), 400);
-        t.equal(await order("c1", "POST", ""), 400);
+    await t.test("is refused for a malformed zone name", async t => {
+        t.equal(await sendEvacuation("c1", "POST", "%ZZ"), 400);
+        t.equal(await sendEvacuation("c1", "POST", ""), 400);
     });
 });
