--- a/src/daemons/bundleController/bundleControllerDaemon.ts
+++ b/src/daemons/bundleController/bundleControllerDaemon.ts
@@ -1,6 +1,6 @@
 /**
- * A controller of deployments whose operator declares bundles: keeps the bundle and the prepaid tokens in the
- * replicated log, hears the upstreams, and tells the routers that follow it.
+ * A controller for deployments that are configured by bundles. Stores the bundle and the prepaid token accounts in the
+ * replicated log, receives the reports of upstreams and pushes changes to the routers that are subscribed to it.
  */
 import type { ReplicaSetKeeper } from "../../consensus/replicaSetKeeper.js";
 import type { ReplicatedLog } from "../../consensus/replicatedLog.js";
@@ -25,15 +25,15 @@
 import type { LoopWatch } from "../loopWatch.js";
 import { BundlePublisher } from "./bundlePublisher.js";
 import { EvacuationService } from "./evacuationService.js";
-import { Followers } from "./followers.js";
+import { SubscribedRouters } from "./followers.js";
 import { PrepaidService } from "./prepaidService.js";
 import { RegistrationService } from "./registrationService.js";
 import { UpstreamEndService } from "./upstreamEndService.js";
 
 export interface BundleControllerOptions {
-    /** Where other controllers and routers reach this one. */
+    /** Address at which other controllers and routers reach this one. */
     readonly address: string;
-    /** Addresses of controllers to ask to be added to the log. */
+    /** Addresses of the controllers that are asked to add this one to the replica set. */
     readonly seeds: readonly string[];
 }
 
@@ -42,11 +42,11 @@
     readonly evacuations: EvacuationService;
     private readonly prepaid: PrepaidService;
     private readonly upstreamEnds: UpstreamEndService;
-    private readonly followers = new Followers(createRandomId());
+    private readonly subscribers = new SubscribedRouters(createRandomId());
     private readonly publisher = new BundlePublisher();
     private seeds: readonly string[];
-    /** Names of the services of the newest bundle that was decoded here. */
-    private declared: { readonly revision: number; readonly services: Promise<ReadonlySet<string>>; } | undefined;
+    /** Names of the services in the bundle that was decoded last. */
+    private serviceNames: { readonly revision: number; readonly services: Promise<ReadonlySet<string>>; } | undefined;
 
     constructor(
         private readonly replica: ReplicatedLog,
@@ -60,10 +60,10 @@
     ) {
         this.seeds = options.seeds;
         this.prepaid = new PrepaidService(replica, network, log);
-        this.upstreamEnds = new UpstreamEndService(replica, this.followers, network, clock, log);
-        this.evacuations = new EvacuationService(replica, this.followers, log);
+        this.upstreamEnds = new UpstreamEndService(replica, this.subscribers, network, clock, log);
+        this.evacuations = new EvacuationService(replica, this.subscribers, log);
         this.registrations = new RegistrationService(
-            this.followers,
+            this.subscribers,
             network,
             clock,
             log,
@@ -75,17 +75,17 @@
                 this.publishBundle(entry.command);
             }
         });
-        replica.onSnapshotLoaded(() => this.publishLoaded());
-        this.publishLoaded();
+        replica.onSnapshotLoaded(() => this.publishSnapshotBundle());
+        this.publishSnapshotBundle();
     }
 
     addHandlers(handlers: PeerHandlers): void {
         this.replica.addHandlers(handlers);
         this.keeper.addHandlers(handlers);
-        handlers.add(followMethod, (params, peer) => this.follow(params, peer));
+        handlers.add(followMethod, (params, peer) => this.handleFollow(params, peer));
         handlers.add(getBundleMethod, async ({ held }) => ({ bundle: await this.publisher.tryGetEncoded(held) }));
-        handlers.add(upstreamNoticeMethod, notice => this.registrations.receive(notice.upstreams));
-        handlers.add(reportEndsMethod, ({ report }) => this.upstreamEnds.takeReport(report));
+        handlers.add(upstreamNoticeMethod, notice => this.registrations.recordForwarded(notice.upstreams));
+        handlers.add(reportEndsMethod, ({ report }) => this.upstreamEnds.handleReport(report));
         handlers.add(reportPrepaidMethod, ({ report }) => this.prepaid.handleReport(report));
     }
 
@@ -93,12 +93,12 @@
         this.replica.start();
         void this.keeper.runKeeping();
         void this.keeper.runJoining(() => this.seeds);
-        void this.registrations.runBatches();
+        void this.registrations.runHeartbeatBatches();
         void this.prepaid.runLogging(this.clock);
-        void this.upstreamEnds.runForgetting();
+        void this.upstreamEnds.runEviction();
     }
 
-    /** Takes new seeds from changed settings. */
+    /** Replaces the seeds when the settings have changed. */
     setSeeds(seeds: readonly string[]): void {
         this.seeds = seeds;
     }
@@ -109,29 +109,29 @@
     }
 
     /**
-     * Takes a declared bundle. Resolves once a majority holds it, or a newer one, on disk. Throws malformedBody or objectInvalid,
-     * noMajority where it was certainly not taken, changeUnknown where it may have been.
+     * Stores a bundle. Resolves once a majority has persisted it or a newer one. Throws malformedBody or objectInvalid,
+     * noMajority if it was not stored, and changeUnknown if it may have been stored.
      */
     async putBundle(text: string): Promise<BundleResult> {
         const bundle = await this.decoder.decode(text);
         this.loop.noteWork("bundles");
-        const answer = await this.replica.propose({
+        const proposal = await this.replica.propose({
             type: "putBundle",
             revision: bundle.revision,
             text,
             prepaid: getPrepaidLimits(bundle),
         });
-        const result = answer.result as BundleResult;
+        const result = proposal.result as BundleResult;
         this.log.info("bundle_taken", {
             revision: bundle.revision,
             changed: result.changed,
             in_force: result.revision,
-            index: answer.index,
+            index: proposal.index,
         });
         return result;
     }
 
-    /** The bundle in force, read through a majority. Throws noMajority, and notReady before the first bundle. */
+    /** Returns the current bundle, confirmed by a majority. Throws noMajority, and notReady before the first bundle. */
     async readBundle(): Promise<StoredBundle> {
         await this.replica.readThroughMajority();
         const bundle = this.replica.state.bundle.tryGet();
@@ -141,50 +141,50 @@
         return bundle;
     }
 
-    /** Names of the replicas that vote, as this one knows them. */
+    /** Returns the names of the voting replicas known to this one. */
     listReplicas(): string[] {
         return [...this.replica.replicas.getVoters()];
     }
 
-    private follow(
+    private handleFollow(
         { address, wantsUpstreams, since, unheardMs, routersSince }: FollowParams,
         peer: Peer,
     ): FollowAnswer {
-        if (this.followers.add(peer, address)) {
+        if (this.subscribers.add(peer, address)) {
             this.log.info("router_follows", { router: address });
         }
-        const wantsNews = wantsUpstreams && unheardMs !== undefined;
+        const wantsChanges = wantsUpstreams && unheardMs !== undefined;
         return {
             bundleRevision: this.replica.state.bundle.tryGet()?.revision,
-            upstreams: wantsUpstreams && !wantsNews ? this.registrations.list() : [],
-            news: wantsNews ? this.registrations.createNews(since, unheardMs) : undefined,
+            upstreams: wantsUpstreams && !wantsChanges ? this.registrations.list() : [],
+            news: wantsChanges ? this.registrations.createNews(since, unheardMs) : undefined,
             controllers: [this.options.address, ...this.replica.replicas.getOthers().map(other => other.address)],
-            routers: this.followers.isUnchangedSince(routersSince) ? undefined : this.followers.list(),
-            routersCursor: this.followers.getCursor(),
+            routers: this.subscribers.isUnchangedSince(routersSince) ? undefined : this.subscribers.list(),
+            routersCursor: this.subscribers.getCursor(),
             hasMajority: this.replica.isConnectedToMajority(),
-            suspects: this.upstreamEnds.createList(),
-            evacuations: this.evacuations.createList(),
+            suspects: this.upstreamEnds.createSuspectList(),
+            evacuations: this.evacuations.createEvacuationList(),
         };
     }
 
-    /** Before the first bundle every service counts as declared: upstreams register earlier. */
+    /** Accepts every service before the first bundle, because upstreams may register before it is stored. */
     private async isServiceDeclared(service: string): Promise<boolean> {
         const bundle = this.replica.state.bundle.tryGet();
         if (bundle === undefined) {
             return true;
         }
-        if (this.declared?.revision !== bundle.revision) {
+        if (this.serviceNames?.revision !== bundle.revision) {
             this.loop.noteWork("bundles");
             const services = this.decoder.decode(bundle.text).then(({ services }) =>
                 new Set(services.map(s => s.name))
             );
-            this.declared = { revision: bundle.revision, services };
+            this.serviceNames = { revision: bundle.revision, services };
         }
-        return (await this.declared.services).has(service);
+        return (await this.serviceNames.services).has(service);
     }
 
-    /** Publishes the bundle that a snapshot brought, also one that was loaded from the disk. */
-    private publishLoaded(): void {
+    /** Publishes the bundle of a snapshot that was received or loaded from disk. */
+    private publishSnapshotBundle(): void {
         const bundle = this.replica.state.bundle.tryGet();
         if (bundle !== undefined) {
             this.publishBundle(bundle);
@@ -193,7 +193,7 @@
 
     private publishBundle({ revision, text }: StoredBundle): void {
         this.publisher.setNewest({ revision, text });
-        this.followers.notifyAll(bundleNoticeMethod, { controller: this.options.address, revision });
+        this.subscribers.notifyAll(bundleNoticeMethod, { controller: this.options.address, revision });
     }
 }
 
--- a/src/daemons/bundleController/evacuationService.ts
+++ b/src/daemons/bundleController/evacuationService.ts
@@ -1,43 +1,42 @@
-/**
- * Takes operators' orders to evacuate an availability zone to the log, and tells the routers that follow which zones are.
- */
+/** Records operators' requests to evacuate availability zones in the replicated log and notifies subscribed routers. */
 import type { ReplicatedLog } from "../../consensus/replicatedLog.js";
 import type { EvacuationList, EvacuationResult } from "../../domain/evacuationBook.js";
 import { MAX_ZONE_LENGTH } from "../../domain/evacuationCommands.js";
 import { createRefusal, RefusalError } from "../../domain/resultCodes.js";
 import type { Log } from "../../ports/log.js";
 import { evacuationNoticeMethod } from "../../protocol/fleetMethods.js";
-import type { Followers } from "./followers.js";
+import type { SubscribedRouters } from "./followers.js";
 
 export class EvacuationService {
-    /** Index of the newest change that the routers were told of. */
-    private told = 0;
+    /** Log index of the last change that routers were notified of. */
+    private lastNotifiedIndex = 0;
 
     constructor(
         private readonly replica: ReplicatedLog,
-        private readonly followers: Followers,
+        private readonly subscribers: SubscribedRouters,
         private readonly log: Log,
     ) {
         replica.onApplied(({ command }) => {
             if (command.type === "setEvacuation") {
-                this.tellChange();
+                this.notifyIfChanged();
             }
         });
-        replica.onSnapshotLoaded(() => this.tellChange());
-        this.told = this.createList().index;
+        replica.onSnapshotLoaded(() => this.notifyIfChanged());
+        this.lastNotifiedIndex = this.createEvacuationList().index;
     }
 
     /**
-     * Has a zone evacuated, or puts it back into service. Resolves once a majority holds it on disk. An order that was carried
-     * out before is answered again. A zone that no upstream, router or controller has named is taken all the same: a
-     * controller that has just started, or is cut off from the zone, cannot tell it from one that has no upstream yet.
-     * Throws objectInvalid, noMajority where it was certainly not taken, changeUnknown where it may have been.
+     * Evacuates a zone or returns it to service. Idempotent. Resolves once a majority has persisted the change. Unknown
+     * zones are accepted, because a controller that has just started or is partitioned cannot distinguish them from zones
+     * without upstreams. Throws objectInvalid, noMajority if the change was not stored, and changeUnknown if it may have been.
      */
     async setEvacuated(zone: string, isEvacuated: boolean): Promise<void> {
         if (zone === "" || zone.length > MAX_ZONE_LENGTH) {
-            throw new RefusalError(createRefusal("objectInvalid", `a zone's name of ${zone.length} characters`));
+            throw new RefusalError(
+                createRefusal("objectInvalid", `zone name has an invalid length of ${zone.length} characters`),
+            );
         }
-        // Read through a majority: an order and its withdrawal may have come to different controllers.
+        // A local read may be stale: the previous request for this zone may have been sent to another controller.
         await this.replica.readThroughMajority();
         const { isEvacuated: wasEvacuated, changes } = this.replica.state.evacuations.get(zone);
         if (wasEvacuated !== isEvacuated) {
@@ -52,16 +51,15 @@
         this.log.info("evacuation_ordered", { zone, evacuated: isEvacuated, changed: wasEvacuated !== isEvacuated });
     }
 
-    /** What routers go by. */
-    createList(): EvacuationList {
+    createEvacuationList(): EvacuationList {
         return this.replica.state.evacuations.createList();
     }
 
-    private tellChange(): void {
-        const list = this.createList();
-        if (list.index > this.told) {
-            this.told = list.index;
-            this.followers.notifyAll(evacuationNoticeMethod, list);
+    private notifyIfChanged(): void {
+        const list = this.createEvacuationList();
+        if (list.index > this.lastNotifiedIndex) {
+            this.lastNotifiedIndex = list.index;
+            this.subscribers.notifyAll(evacuationNoticeMethod, list);
             this.log.info("evacuations_changed", { index: list.index, zones: list.zones.join(",") });
         }
     }
@@ -72,8 +70,10 @@
         case "done":
             return;
         case "overtaken":
-            // Which of the two orders is the newer one only its sender knows; it sends again what it still wants.
-            throw new RefusalError(createRefusal("changeUnknown", `another order about ${zone} came between`));
+            // Concurrent requests cannot be ordered here; the operator has to retry the one that should apply.
+            throw new RefusalError(
+                createRefusal("changeUnknown", `the evacuation of ${zone} was changed concurrently`),
+            );
         case "full":
             throw new RefusalError(createRefusal("objectInvalid", "too many zones have been evacuated"));
     }
--- a/src/daemons/bundleController/followers.ts
+++ b/src/daemons/bundleController/followers.ts
@@ -1,47 +1,47 @@
-/** The routers that follow this controller, each over the connection it opened. */
+/** The routers that are subscribed to this controller, each over the connection that it opened. */
 import type { RouterContact } from "../../domain/routerGroups.js";
 import type { ChangeCursor } from "../../domain/upstreamChanges.js";
 import type { Peer, PeerMethod } from "../../ports/peer.js";
 
-export class Followers {
-    private readonly peers = new Map<Peer, string>();
-    /** Counts the changes of the list. */
-    private changes = 0;
+export class SubscribedRouters {
+    private readonly addressByPeer = new Map<Peer, string>();
+    /** Number of changes of the list. */
+    private changeCount = 0;
 
-    /** `epoch`: new at each start of the process. */
-    constructor(private readonly epoch: string) {}
+    /** `startId`: identifies this run of the controller. */
+    constructor(private readonly startId: string) {}
 
-    /** Adds a follower by its address, or keeps it until its connection is lost. Answers whether it is new. */
-    add(peer: Peer, router: string): boolean {
-        if (this.peers.has(peer)) {
+    /** Adds a router until its connection closes. Returns whether the connection was not subscribed before. */
+    add(peer: Peer, address: string): boolean {
+        if (this.addressByPeer.has(peer)) {
             return false;
         }
-        this.peers.set(peer, router);
-        this.changes += 1;
+        this.addressByPeer.set(peer, address);
+        this.changeCount += 1;
         peer.onClose(() => {
-            this.peers.delete(peer);
-            this.changes += 1;
+            this.addressByPeer.delete(peer);
+            this.changeCount += 1;
         });
         return true;
     }
 
-    /** The routers that follow, each once. */
+    /** Returns the subscribed routers without duplicates. */
     list(): RouterContact[] {
-        const zones = new Map([...this.peers].map(([peer, address]) => [address, peer.identity.zone]));
-        return [...zones].map(([address, zone]) => ({ address, zone }));
+        const zoneByAddress = new Map([...this.addressByPeer].map(([peer, address]) => [address, peer.identity.zone]));
+        return [...zoneByAddress].map(([address, zone]) => ({ address, zone }));
     }
 
-    /** Which state of the list is the one now. */
+    /** Returns a cursor for the current state of the list. */
     getCursor(): ChangeCursor {
-        return { epoch: this.epoch, number: this.changes };
+        return { epoch: this.startId, number: this.changeCount };
     }
 
-    /** Whether the list is as it was at a cursor. */
+    /** Returns whether the list has not changed since a cursor. */
     isUnchangedSince(cursor: ChangeCursor | undefined): boolean {
-        return cursor?.epoch === this.epoch && cursor.number === this.changes;
+        return cursor?.epoch === this.startId && cursor.number === this.changeCount;
     }
 
     notifyAll<P>(method: PeerMethod<P, void>, params: P): void {
-        this.peers.forEach((_router, peer) => peer.notify(method, params));
+        this.addressByPeer.forEach((_address, peer) => peer.notify(method, params));
     }
 }
--- a/src/daemons/bundleController/registrationService.ts
+++ b/src/daemons/bundleController/registrationService.ts
@@ -1,7 +1,7 @@
 /**
- * Takes the reports of upstreams and spreads them to the routers that follow and to the other controllers. A change of
- * state goes out at once; that an upstream lives goes out in batches, and to controllers only: routers ask once a second
- * which are unheard.
+ * Receives the reports of upstreams and forwards them to subscribed routers and to the other controllers. State changes are
+ * forwarded immediately. Heartbeats are sent in batches to controllers only, because routers poll for upstreams that have
+ * stopped reporting.
  */
 import { createRandomId } from "../../domain/identifiers.js";
 import { createRefusal, RefusalError } from "../../domain/resultCodes.js";
@@ -11,19 +11,18 @@
 import type { Log } from "../../ports/log.js";
 import type { PeerNetwork } from "../../ports/peer.js";
 import { upstreamNoticeMethod } from "../../protocol/fleetMethods.js";
-import type { Followers } from "./followers.js";
+import type { SubscribedRouters } from "./followers.js";
 
-/** How often other controllers hear that upstreams live, in milliseconds. */
-const BATCH_PERIOD_MS = 400;
+const HEARTBEAT_BATCH_PERIOD_MS = 400;
 
 export class RegistrationService {
     readonly registry = new UpstreamRegistry();
     private readonly changes = new UpstreamChanges(this.registry, createRandomId());
-    private readonly waiting = new Map<string, UpstreamRegistration>();
+    private readonly pendingHeartbeats = new Map<string, UpstreamRegistration>();
     private stopped = false;
 
     constructor(
-        private readonly followers: Followers,
+        private readonly subscribers: SubscribedRouters,
         private readonly network: PeerNetwork,
         private readonly clock: Clock,
         private readonly log: Log,
@@ -31,14 +30,14 @@
         private readonly isServiceDeclared: (service: string) => Promise<boolean>,
     ) {}
 
-    /** The task that sends what has gathered. */
-    async runBatches(): Promise<void> {
+    /** Periodically forwards the collected heartbeats to the other controllers. */
+    async runHeartbeatBatches(): Promise<void> {
         while (!this.stopped) {
-            await this.clock.wait(BATCH_PERIOD_MS);
-            if (this.waiting.size > 0) {
-                const batch = [...this.waiting.values()];
-                this.waiting.clear();
-                this.tellControllers(batch);
+            await this.clock.wait(HEARTBEAT_BATCH_PERIOD_MS);
+            if (this.pendingHeartbeats.size > 0) {
+                const batch = [...this.pendingHeartbeats.values()];
+                this.pendingHeartbeats.clear();
+                this.notifyControllers(batch);
             }
         }
     }
@@ -48,8 +47,8 @@
     }
 
     /**
-     * Takes what an upstream says of itself. Rejects with serviceUnknown where it names a service that the bundle does not
-     * have and is not known for it: such a report would take the address of another upstream out of service.
+     * Records a report of an upstream. Throws serviceUnknown if the bundle does not declare its service, unless the upstream
+     * already belongs to it. Such a report could otherwise claim the address of another upstream.
      */
     async register(registration: UpstreamRegistration): Promise<void> {
         const isKnown = this.registry.tryGet(registration.id)?.service === registration.service;
@@ -57,28 +56,28 @@
             throw new RefusalError(createRefusal("serviceUnknown", registration.service));
         }
         const change = this.registry.record(registration, this.clock.getMonotonicMs());
-        // What routers have found out stands beside what the upstream reports.
-        const known = this.registry.getNewest(registration);
+        // The newest registration also includes what routers have learned about the upstream.
+        const newest = this.registry.getNewest(registration);
         if (change === "state") {
-            this.logState(known, "upstream");
-            this.spread(known);
+            this.logState(newest, "upstream");
+            this.broadcast(newest);
         }
         else if (change === "beat") {
-            this.waiting.set(known.id, known);
+            this.pendingHeartbeats.set(newest.id, newest);
         }
     }
 
-    /** Takes an upstream's word that it will not come back. `bornAt`: its life that ends, where it is told. */
+    /** Records that an upstream has ended. `bornAt`: start of the incarnation that has ended; undefined if unknown. */
     remove(id: string, bornAt: number | undefined): void {
         const gone = this.registry.recordGone(id, this.clock.getMonotonicMs(), bornAt);
         if (gone !== undefined) {
             this.logState(gone, "upstream");
-            this.spread(gone);
+            this.broadcast(gone);
         }
     }
 
-    /** Takes what another controller has heard; it has told the routers itself. */
-    receive(upstreams: readonly HeardRegistration[]): void {
+    /** Records reports forwarded by another controller, which has notified its own routers already. */
+    recordForwarded(upstreams: readonly HeardRegistration[]): void {
         const now = this.clock.getMonotonicMs();
         for (const heard of upstreams) {
             const { registration, ageMs } = heard;
@@ -88,31 +87,31 @@
             }
             const hasNewLimit = this.recordLimit(heard, now);
             if (hasNewState || hasNewLimit) {
-                // A router that cannot hear the other controller hears it from this one.
-                this.tellRouters(heard);
+                // Routers that are disconnected from the other controller receive the change from this one.
+                this.notifyRouters(heard);
             }
         }
     }
 
-    /** What a router is told that has been told as far as `since`. */
+    /** Returns the changes since a router's cursor and the upstreams not heard from for `unheardMs`. */
     createNews(since: ChangeCursor | undefined, unheardMs: number): UpstreamNews {
         return this.changes.createNews(since, unheardMs, this.clock.getMonotonicMs());
     }
 
-    /** Everything known, for a router that asks for no news. */
+    /** Returns all upstreams, for routers of earlier versions that do not request incremental changes. */
     list(): HeardRegistration[] {
         const now = this.clock.getMonotonicMs();
         this.changes.forgetOld(now);
         return this.registry.list(now);
     }
 
-    /** Takes what an upstream has told a router of its limit. Answers whether that is another one. */
+    /** Records the limit that an upstream reported to a router. Returns whether it has changed. */
     private recordLimit({ registration, limit }: HeardRegistration, now: number): boolean {
         if (limit === undefined) {
             return false;
         }
-        const isNew = this.registry.recordLimit(registration, limit.perSecond, now - limit.ageMs);
-        if (isNew) {
+        const hasChanged = this.registry.recordLimit(registration, limit.perSecond, now - limit.ageMs);
+        if (hasChanged) {
             this.log.info("upstream_limit", {
                 upstream: registration.id,
                 per_second: limit.perSecond,
@@ -120,20 +119,20 @@
                 age_ms: limit.ageMs,
             });
         }
-        return isNew;
+        return hasChanged;
     }
 
-    private spread(registration: UpstreamRegistration): void {
-        this.tellRouters({ registration, ageMs: 0 });
-        this.tellControllers([registration]);
+    private broadcast(registration: UpstreamRegistration): void {
+        this.notifyRouters({ registration, ageMs: 0 });
+        this.notifyControllers([registration]);
     }
 
-    private tellRouters(heard: HeardRegistration): void {
+    private notifyRouters(heard: HeardRegistration): void {
         this.changes.note(heard.registration.id);
-        this.followers.notifyAll(upstreamNoticeMethod, { upstreams: [heard] });
+        this.subscribers.notifyAll(upstreamNoticeMethod, { upstreams: [heard] });
     }
 
-    private tellControllers(registrations: readonly UpstreamRegistration[]): void {
+    private notifyControllers(registrations: readonly UpstreamRegistration[]): void {
         const params = { upstreams: registrations.map(registration => ({ registration, ageMs: 0 })) };
         for (const address of this.getOtherControllers()) {
             this.network.connect(address).then(
--- a/src/daemons/bundleController/upstreamEndService.ts
+++ b/src/daemons/bundleController/upstreamEndService.ts
@@ -1,7 +1,6 @@
 /**
- * Takes routers' reports of upstreams that ended to the log, and tells the routers that follow which requests those ends are
- * held against. In the log, since it has to outlast every process: all of them may be killed at once, and the request
- * comes again afterwards.
+ * Records routers' reports of ended upstreams in the replicated log and notifies subscribed routers of the requests suspected
+ * to have caused them. The log keeps them across a restart of all processes, after which such a request may be retried.
  */
 import { getLeaderAddress } from "../../consensus/leaderAddress.js";
 import type { ReplicatedLog } from "../../consensus/replicatedLog.js";
@@ -15,39 +14,37 @@
     type SuspectList,
     suspectNoticeMethod,
 } from "../../protocol/fleetMethods.js";
-import type { Followers } from "./followers.js";
+import type { SubscribedRouters } from "./followers.js";
 
-/** How long a report may take from here to the leader and back, in milliseconds. */
+/** Timeout for forwarding a report to the leader. */
 const FORWARD_TIMEOUT_MS = 900;
 /**
- * How long an end is held against the requests that were there, in milliseconds. Half an hour: a request that ends upstreams
- * costs three of them in that time at the worst, and one that was taken for it wrongly is refused no longer.
+ * How long an end counts against the requests it interrupted. Limits how often a poison request ends upstreams, and how long
+ * a request is refused that was wrongly identified as one.
  */
-export const KEEP_ENDS_MS = 1_800_000;
-/** How often the leader looks for ends that are older, in milliseconds. */
-const FORGET_PERIOD_MS = 5_000;
+export const END_RETENTION_MS = 1_800_000;
+const EVICTION_PERIOD_MS = 5_000;
 /**
- * Upstreams that end within this time have probably ended by one cause, such as their box (see endSuspects.ts): a router
- * notices an end within 3 ms, 25 ms on a box of a quarter of a core. A request that ends its upstreams does so 50 ms to 1 s
- * after it came, and its copies come at different times: with 60 it ends 5.8 upstreams, 5.75 with 30, and 7.5 with
- * 200 (model of `endSuspects.test.ts`, mean of 20 seeds). Milliseconds.
+ * Upstreams that end within this time are attributed to one cause, such as a failure of their box (see endSuspects.ts). Must
+ * exceed the time in which routers detect an end. A longer window merges independent ends and delays the identification of a
+ * poison request.
  */
-const SAME_MOMENT_MS = 60;
-/** Lives whose end is remembered to find those that ended together: more than one cause ends within seconds. */
-const MOST_RECENT = 1_000;
+const MOMENT_WINDOW_MS = 60;
+/** Maximum number of ended incarnations that are compared to find simultaneous ends. */
+const MAX_RECENT_ENDS = 1_000;
 
 export class UpstreamEndService {
-    /** When each entry that is still held against requests was heard of. By its index; monotonic clock, milliseconds. */
-    private heardAt = new Map<number, number>();
-    /** When the moment was at which upstreams had ended that were reported to this leader lately. By life; monotonic clock. */
-    private readonly endedAt = new Map<string, number>();
-    /** What the routers were told last, as text. */
-    private told = "[]";
-    private quarantined: ReadonlySet<string> = new Set();
+    /** When each retained entry was first seen by this process, keyed by its log index. Monotonic clock, milliseconds. */
+    private receivedAtByIndex = new Map<number, number>();
+    /** Start of the moment at which each recently reported incarnation ended. Monotonic clock, milliseconds. */
+    private readonly momentStartByIncarnation = new Map<string, number>();
+    /** The suspects that routers were last notified of, as JSON. */
+    private lastNotifiedSuspects = "[]";
+    private loggedCulprits: ReadonlySet<string> = new Set();
 
     constructor(
         private readonly replica: ReplicatedLog,
-        private readonly followers: Followers,
+        private readonly subscribers: SubscribedRouters,
         private readonly network: PeerNetwork,
         private readonly clock: Clock,
         private readonly log: Log,
@@ -57,18 +54,18 @@
                 command.type === "recordUpstreamEnd" || command.type === "clearRequests"
                 || command.type === "forgetUpstreamEnds"
             ) {
-                this.tellChange();
+                this.notifyIfChanged();
             }
         });
-        replica.onSnapshotLoaded(() => this.tellChange());
-        this.tellChange();
+        replica.onSnapshotLoaded(() => this.notifyIfChanged());
+        this.notifyIfChanged();
     }
 
-    /** The leader's task: forgets ends that are long ago. */
-    async runForgetting(): Promise<void> {
+    /** Periodically evicts expired ends, on the leader. */
+    async runEviction(): Promise<void> {
         while (!this.replica.isStopped()) {
-            await this.clock.wait(FORGET_PERIOD_MS);
-            const upTo = this.findOldIndex();
+            await this.clock.wait(EVICTION_PERIOD_MS);
+            const upTo = this.findLastExpiredIndex();
             if (this.replica.isLeader() && upTo !== undefined) {
                 await this.replica.propose({ type: "forgetUpstreamEnds", upTo }).catch(error =>
                     this.log.info("upstream_ends_not_forgotten", { error: String(error) })
@@ -77,8 +74,8 @@
         }
     }
 
-    /** Takes a report at any controller. Throws noMajority or changeUnknown; a report may be made again. */
-    async takeReport(report: EndReport): Promise<{ index: number; }> {
+    /** Records a report, on any controller. Throws noMajority or changeUnknown; a report may be retried. */
+    async handleReport(report: EndReport): Promise<{ index: number; }> {
         if (this.replica.isLeader()) {
             return this.proposeReport(report);
         }
@@ -86,8 +83,8 @@
         return this.network.call(leader.address, reportEndsMethod, { report }, FORWARD_TIMEOUT_MS);
     }
 
-    /** What routers go by. Ages count from when this process heard of an end, so that nothing is forgotten too early. */
-    createList(): SuspectList {
+    /** Returns the suspects for routers. Expiry counts from when this process first saw an end, so it is never too early. */
+    createSuspectList(): SuspectList {
         const now = this.clock.getMonotonicMs();
         const book = this.replica.state.upstreamEnds;
         const suspects = book.getSuspects().map(suspect => ({
@@ -101,7 +98,7 @@
     private async proposeReport({ ends, cleared }: EndReport): Promise<{ index: number; }> {
         const now = this.clock.getMonotonicMs();
         const proposals = ends.map(({ life, brokenAgoMs, requests }) => {
-            const togetherWith = this.findTogether(life, now - brokenAgoMs);
+            const togetherWith = this.findIncarnationOfSameMoment(life, now - brokenAgoMs);
             return this.replica.propose({ type: "recordUpstreamEnd", life, togetherWith, requests });
         });
         if (cleared.length > 0) {
@@ -111,45 +108,48 @@
         return { index: Math.max(0, ...answers.map(({ index }) => index)) };
     }
 
-    /** Another life that ended at the same moment. */
-    private findTogether(life: string, endedAt: number): string | undefined {
-        const known = [...this.endedAt].find(([other, at]) =>
-            other !== life && Math.abs(at - endedAt) < SAME_MOMENT_MS
+    /** Finds another incarnation that ended at the same moment, and records the moment of this one. */
+    private findIncarnationOfSameMoment(life: string, endedAt: number): string | undefined {
+        const sameMomentEnd = [...this.momentStartByIncarnation].find(([other, at]) =>
+            other !== life && Math.abs(at - endedAt) < MOMENT_WINDOW_MS
         );
-        if (!this.endedAt.has(life)) {
-            // By its moment's first end, so that many ends in a row do not become one moment.
-            this.endedAt.set(life, known?.[1] ?? endedAt);
+        if (!this.momentStartByIncarnation.has(life)) {
+            // Uses the start of the moment, so that a series of ends is not chained into one long moment.
+            this.momentStartByIncarnation.set(life, sameMomentEnd?.[1] ?? endedAt);
         }
-        if (this.endedAt.size > MOST_RECENT) {
-            this.endedAt.delete(this.endedAt.keys().next().value!);
+        if (this.momentStartByIncarnation.size > MAX_RECENT_ENDS) {
+            this.momentStartByIncarnation.delete(this.momentStartByIncarnation.keys().next().value!);
         }
-        return known?.[0];
+        return sameMomentEnd?.[0];
     }
 
-    /** How long until so few of a request's moments are remembered that it is no culprit any more. */
+    /** Computes the time until enough of the suspect's moments have expired that it is no longer a culprit. */
     private computeLeftMs({ ends }: EndSuspect, now: number): number {
-        const moments = new Map(ends.map(end => [end.moment, end.life]));
-        const decisive = [...moments.values()].at(-CULPRIT_MOMENTS) ?? [...moments.values()][0]!;
-        const index = this.replica.state.upstreamEnds.tryGetIndex(decisive);
-        const heardAt = index === undefined ? now : this.heardAt.get(index) ?? now;
-        return Math.max(0, Math.round(heardAt + KEEP_ENDS_MS - now));
+        const lastIncarnationByMoment = new Map(ends.map(end => [end.moment, end.life]));
+        const decisiveIncarnation = [...lastIncarnationByMoment.values()].at(-CULPRIT_MOMENTS)
+            ?? [...lastIncarnationByMoment.values()][0]!;
+        const index = this.replica.state.upstreamEnds.tryGetIndex(decisiveIncarnation);
+        const receivedAt = index === undefined ? now : this.receivedAtByIndex.get(index) ?? now;
+        return Math.max(0, Math.round(receivedAt + END_RETENTION_MS - now));
     }
 
-    private findOldIndex(): number | undefined {
-        const oldest = this.clock.getMonotonicMs() - KEEP_ENDS_MS;
-        const old = [...this.heardAt].filter(([, heardAt]) => heardAt < oldest).map(([index]) => index);
-        return old.length === 0 ? undefined : Math.max(...old);
+    private findLastExpiredIndex(): number | undefined {
+        const minReceivedAt = this.clock.getMonotonicMs() - END_RETENTION_MS;
+        const expiredIndexes = [...this.receivedAtByIndex]
+            .filter(([, receivedAt]) => receivedAt < minReceivedAt)
+            .map(([index]) => index);
+        return expiredIndexes.length === 0 ? undefined : Math.max(...expiredIndexes);
     }
 
-    private tellChange(): void {
+    private notifyIfChanged(): void {
         const now = this.clock.getMonotonicMs();
         const indexes = this.replica.state.upstreamEnds.listIndexes();
-        this.heardAt = new Map(indexes.map(index => [index, this.heardAt.get(index) ?? now]));
-        const list = this.createList();
+        this.receivedAtByIndex = new Map(indexes.map(index => [index, this.receivedAtByIndex.get(index) ?? now]));
+        const list = this.createSuspectList();
         const text = JSON.stringify(list.suspects.map(({ fingerprint, isCulprit }) => [fingerprint, isCulprit]));
-        if (text !== this.told) {
-            this.told = text;
-            this.followers.notifyAll(suspectNoticeMethod, list);
+        if (text !== this.lastNotifiedSuspects) {
+            this.lastNotifiedSuspects = text;
+            this.subscribers.notifyAll(suspectNoticeMethod, list);
             this.logNewCulprits();
         }
     }
@@ -157,10 +157,10 @@
     private logNewCulprits(): void {
         const culprits = this.replica.state.upstreamEnds.getSuspects().filter(({ isCulprit }) => isCulprit);
         for (const { fingerprint, ends } of culprits) {
-            if (!this.quarantined.has(fingerprint)) {
+            if (!this.loggedCulprits.has(fingerprint)) {
                 this.log.warn("request_quarantined", { fingerprint, upstreams: ends.map(end => end.life).join(",") });
             }
         }
-        this.quarantined = new Set(culprits.map(({ fingerprint }) => fingerprint));
+        this.loggedCulprits = new Set(culprits.map(({ fingerprint }) => fingerprint));
     }
 }
--- a/test/daemons/upstreamNews.test.ts
+++ b/test/daemons/upstreamNews.test.ts
@@ -1,22 +1,20 @@
 /**
- * The load: 300 routers follow a controller that knows 3,004 upstreams, of which five change in a second; each router asks each
- * of five controllers once a second, and one of them for upstreams. What an answer holds, in kB: 448 of upstreams and
- * 13 of routers where each names all, as it was before; 0.8 and 0 now.
+ * Tests the incremental updates that routers poll from controllers. Guards against answers whose size grows with the number
+ * of upstreams or routers, and against routers that diverge from the controller.
  */
 import t from "tap";
-import { Followers } from "../../src/daemons/bundleController/followers.js";
+import { SubscribedRouters } from "../../src/daemons/bundleController/followers.js";
 import { FollowedUpstreams } from "../../src/daemons/directRouter/followedUpstreams.js";
 import { UpstreamChanges, type UpstreamNews } from "../../src/domain/upstreamChanges.js";
 import { type UpstreamRegistration, UpstreamRegistry } from "../../src/domain/upstreamRegistry.js";
 import { Peer, type PeerIdentity } from "../../src/ports/peer.js";
 
-const UPSTREAMS = 3_004;
-const ROUTERS = 300;
-const CHANGES_A_SECOND = 5;
-/** A part of what a line between processes may hold, and of a link of 7 Mbit/s in a second. Bytes. */
-const MOST_BYTES = 4_000;
+const UPSTREAM_COUNT = 3_004;
+const ROUTER_COUNT = 300;
+const CHANGE_COUNT = 5;
+const MAX_NEWS_BYTES = 4_000;
 const UNHEARD_MS = 1_800;
-const SILENCE_MS = 4_800;
+const MAX_REPORT_AGE_MS = 4_800;
 
 function createRegistration(id: string, part: Partial<UpstreamRegistration> = {}): UpstreamRegistration {
     const address = `10.64.0.1:${id}`;
@@ -27,8 +25,8 @@
     return JSON.stringify(value).length;
 }
 
-/** A controller's registry, what a router believes, and the word between them. */
-function createWorld(epoch = "e1") {
+/** Creates a controller's registry with its numbered changes. */
+function createController(epoch = "e1") {
     const registry = new UpstreamRegistry();
     const changes = new UpstreamChanges(registry, epoch);
     const report = (registration: UpstreamRegistration, now: number) => {
@@ -39,8 +37,8 @@
     return { registry, changes, report };
 }
 
-/** What a router makes of news. */
-function take(router: UpstreamRegistry, followed: FollowedUpstreams, news: UpstreamNews, now: number): void {
+/** Applies a controller's update to a router's registry. */
+function applyNews(router: UpstreamRegistry, followed: FollowedUpstreams, news: UpstreamNews, now: number): void {
     const heard = followed.take(news);
     news.changed.forEach(({ registration, ageMs }) => router.record(registration, now - ageMs));
     heard.forEach(({ id, ageMs }) => router.noteHeard(id, now - ageMs));
@@ -48,141 +46,145 @@
 
 class FakePeer extends Peer {
     override readonly identity: PeerIdentity = { name: "r", role: "router", zone: "z-1", incarnation: "i" };
-    private close: () => void = () => undefined;
+    private closeHandler: () => void = () => undefined;
     override call(): Promise<never> {
         return Promise.reject(new Error("not used"));
     }
     override notify(): void {}
     override onClose(handler: () => void): () => void {
-        this.close = handler;
+        this.closeHandler = handler;
         return () => undefined;
     }
     override isOpen(): boolean {
         return true;
     }
-    lose(): void {
-        this.close();
+    loseConnection(): void {
+        this.closeHandler();
     }
 }
 
-void t.test("what a router is told each second follows what has changed", t => {
-    const { changes, report } = createWorld();
-    for (let i = 0; i < UPSTREAMS; i++) {
+void t.test("an update contains only the upstreams whose state has changed", t => {
+    const { changes, report } = createController();
+    for (let i = 0; i < UPSTREAM_COUNT; i++) {
         report(createRegistration(String(i)), 0);
     }
-    const whole = changes.createNews(undefined, UNHEARD_MS, 0);
-    t.equal(whole.changed.length, UPSTREAMS);
-    for (let i = 0; i < UPSTREAMS; i++) {
+    const fullUpdate = changes.createNews(undefined, UNHEARD_MS, 0);
+    t.equal(fullUpdate.changed.length, UPSTREAM_COUNT);
+    for (let i = 0; i < UPSTREAM_COUNT; i++) {
         report(createRegistration(String(i), { sequence: 2 }), 900);
     }
-    for (let i = 0; i < CHANGES_A_SECOND; i++) {
+    for (let i = 0; i < CHANGE_COUNT; i++) {
         report(createRegistration(String(i), { sequence: 3, state: "leaving" }), 950);
     }
-    const news = changes.createNews(whole.cursor, UNHEARD_MS, 1_000);
-    t.same(news.changed.map(({ registration }) => registration.state), Array(CHANGES_A_SECOND).fill("leaving"));
-    t.ok(countBytes(news) < MOST_BYTES, `${countBytes(news)} bytes`);
-    t.equal(countBytes(changes.createNews(news.cursor, UNHEARD_MS, 1_000).changed), 2, "nothing twice");
+    const news = changes.createNews(fullUpdate.cursor, UNHEARD_MS, 1_000);
+    t.same(news.changed.map(({ registration }) => registration.state), Array(CHANGE_COUNT).fill("leaving"));
+    t.ok(countBytes(news) < MAX_NEWS_BYTES, `${countBytes(news)} bytes`);
+    t.equal(countBytes(changes.createNews(news.cursor, UNHEARD_MS, 1_000).changed), 2, "no change is sent twice");
     t.end();
 });
 
-void t.test("the routers that follow are named only where they have changed", t => {
-    const followers = new Followers("e1");
-    const peers = Array.from({ length: ROUTERS }, () => new FakePeer());
-    peers.forEach((peer, i) => followers.add(peer, `10.1.0.${i}:7340`));
-    const cursor = followers.getCursor();
-    t.ok(followers.isUnchangedSince(cursor));
-    t.notOk(followers.isUnchangedSince(undefined));
-    t.notOk(followers.isUnchangedSince({ ...cursor, epoch: "another start" }));
-    peers[0]!.lose();
-    t.notOk(followers.isUnchangedSince(cursor));
+void t.test("detects whether the subscribed routers have changed since a cursor", t => {
+    const subscribers = new SubscribedRouters("e1");
+    const peers = Array.from({ length: ROUTER_COUNT }, () => new FakePeer());
+    peers.forEach((peer, i) => subscribers.add(peer, `10.1.0.${i}:7340`));
+    const cursor = subscribers.getCursor();
+    t.ok(subscribers.isUnchangedSince(cursor));
+    t.notOk(subscribers.isUnchangedSince(undefined));
+    t.notOk(subscribers.isUnchangedSince({ ...cursor, epoch: "e2" }));
+    peers[0]!.loseConnection();
+    t.notOk(subscribers.isUnchangedSince(cursor));
     t.end();
 });
 
-void t.test("an upstream that is heard stays, and one that is silent is lost, though no report of either is told", t => {
-    const { changes, report } = createWorld();
+void t.test("an upstream that reports stays ready and a silent one expires, though heartbeats are not forwarded", t => {
+    const { changes, report } = createController();
     const router = new UpstreamRegistry();
     const followed = new FollowedUpstreams(UNHEARD_MS);
     report(createRegistration("1"), 0);
     report(createRegistration("2"), 0);
     for (let now = 0; now <= 12_000; now += 1_000) {
         report(createRegistration("1", { sequence: 2 + now }), now);
-        take(router, followed, changes.createNews(followed.tryGetCursor(), UNHEARD_MS, now), now);
-        const ids = router.getReady("s", now, SILENCE_MS).map(({ id }) => id);
-        t.same(ids, now <= SILENCE_MS ? ["1", "2"] : ["1"], `after ${now} ms`);
+        applyNews(router, followed, changes.createNews(followed.tryGetCursor(), UNHEARD_MS, now), now);
+        const ids = router.getReady("s", now, MAX_REPORT_AGE_MS).map(({ id }) => id);
+        t.same(ids, now <= MAX_REPORT_AGE_MS ? ["1", "2"] : ["1"], `after ${now} ms`);
     }
     t.end();
 });
 
-void t.test("one that is silent for so long that the controller forgets it does not come back", t => {
-    const { changes, report } = createWorld();
+void t.test("a silent upstream that the controller has evicted does not become ready again", t => {
+    const { changes, report } = createController();
     const router = new UpstreamRegistry();
     const followed = new FollowedUpstreams(UNHEARD_MS);
     report(createRegistration("1"), 0);
     report(createRegistration("2"), 0);
     for (let now = 0; now <= 620_000; now += 1_000) {
         report(createRegistration("1", { sequence: 2 + now }), now);
-        take(router, followed, changes.createNews(followed.tryGetCursor(), UNHEARD_MS, now), now);
+        applyNews(router, followed, changes.createNews(followed.tryGetCursor(), UNHEARD_MS, now), now);
     }
-    t.same(router.getReady("s", 620_000, SILENCE_MS).map(({ id }) => id), ["1"]);
+    t.same(router.getReady("s", 620_000, MAX_REPORT_AGE_MS).map(({ id }) => id), ["1"]);
     t.end();
 });
 
-void t.test("a router that missed hundreds of changes catches up with one answer", t => {
-    const { changes, report } = createWorld();
+void t.test("one update covers hundreds of missed changes", t => {
+    const { changes, report } = createController();
     const router = new UpstreamRegistry();
     const followed = new FollowedUpstreams(UNHEARD_MS);
     for (let i = 0; i < 400; i++) {
         report(createRegistration(String(i)), 0);
     }
-    take(router, followed, changes.createNews(undefined, UNHEARD_MS, 0), 0);
+    applyNews(router, followed, changes.createNews(undefined, UNHEARD_MS, 0), 0);
     for (let i = 0; i < 400; i += 2) {
         report(createRegistration(String(i), { sequence: 5, state: "gone" }), 100);
     }
-    take(router, followed, changes.createNews(followed.tryGetCursor(), UNHEARD_MS, 200), 200);
-    t.equal(router.getReady("s", 200, SILENCE_MS).length, 200);
+    applyNews(router, followed, changes.createNews(followed.tryGetCursor(), UNHEARD_MS, 200), 200);
+    t.equal(router.getReady("s", 200, MAX_REPORT_AGE_MS).length, 200);
     t.end();
 });
 
-void t.test("a controller that starts anew tells all that it knows, and speaks of nothing else", t => {
-    const first = createWorld();
+void t.test("a restarted controller sends a full list and does not refresh upstreams that it does not know", t => {
+    const first = createController();
     const router = new UpstreamRegistry();
     const followed = new FollowedUpstreams(UNHEARD_MS);
     first.report(createRegistration("1"), 0);
     first.report(createRegistration("2"), 0);
-    take(router, followed, first.changes.createNews(undefined, UNHEARD_MS, 0), 0);
-    const second = createWorld("e2");
+    applyNews(router, followed, first.changes.createNews(undefined, UNHEARD_MS, 0), 0);
+    const second = createController("e2");
     for (let now = 1_000; now <= 7_000; now += 1_000) {
         second.report(createRegistration("1", { sequence: 10 + now }), now);
         const news = second.changes.createNews(followed.tryGetCursor(), UNHEARD_MS, now);
         t.equal(news.isWhole, now === 1_000);
-        take(router, followed, news, now);
+        applyNews(router, followed, news, now);
     }
-    t.same(router.getReady("s", 7_000, SILENCE_MS).map(({ id }) => id), ["1"], "nobody has heard the other");
+    t.same(
+        router.getReady("s", 7_000, MAX_REPORT_AGE_MS).map(({ id }) => id),
+        ["1"],
+        "the other upstream has not reported since",
+    );
     t.end();
 });
 
-void t.test("one that was met by another at its address is out until it reports again", t => {
-    const { registry, changes, report } = createWorld();
+void t.test("a replaced upstream is not ready until it reports again", t => {
+    const { registry, changes, report } = createController();
     const router = new UpstreamRegistry();
     const followed = new FollowedUpstreams(UNHEARD_MS);
     report(createRegistration("1"), 0);
-    take(router, followed, changes.createNews(undefined, UNHEARD_MS, 0), 0);
+    applyNews(router, followed, changes.createNews(undefined, UNHEARD_MS, 0), 0);
     report(createRegistration("1", { sequence: 7 }), 500);
     const gone = router.recordReplaced(createRegistration("1"), 600)!;
-    t.equal(registry.record(gone, 600), "state", "though it has reported more than the router knows");
-    t.same(registry.getReady("s", 600, SILENCE_MS), []);
-    t.equal(registry.record(createRegistration("1", { sequence: 7 }), 700), undefined, "an old report");
+    t.equal(registry.record(gone, 600), "state", "gone, though the registry has a newer report than the router");
+    t.same(registry.getReady("s", 600, MAX_REPORT_AGE_MS), []);
+    t.equal(registry.record(createRegistration("1", { sequence: 7 }), 700), undefined, "an outdated report");
     t.equal(registry.record(createRegistration("1", { sequence: 8 }), 800), "state");
-    t.equal(registry.getReady("s", 800, SILENCE_MS).length, 1);
+    t.equal(registry.getReady("s", 800, MAX_REPORT_AGE_MS).length, 1);
     t.end();
 });
 
-void t.test("an upstream whose address a late report of a silent one took has it again", t => {
+void t.test("an upstream reclaims its address after a late report of a silent one", t => {
     const router = new UpstreamRegistry();
     router.record(createRegistration("old", { address: "a:1" }), 0);
     router.record(createRegistration("new", { address: "a:1" }), 1_000);
     router.record(createRegistration("old", { address: "a:1", sequence: 2, state: "leaving" }), 5_000);
     router.noteHeard("new", 8_500);
-    t.same(router.getReady("s", 8_500, SILENCE_MS).map(({ id }) => id), ["new"]);
+    t.same(router.getReady("s", 8_500, MAX_REPORT_AGE_MS).map(({ id }) => id), ["new"]);
     t.end();
 });
