--- a/src/daemons/directRouter/directRouterDaemon.ts
+++ b/src/daemons/directRouter/directRouterDaemon.ts
@@ -36,7 +36,6 @@
 import type { BundleListener } from "./bundleFetcher.js";
 import type { FeedListener } from "./controllerFeed.js";
 import { ControllerFeeds, type ControllerFeedsOptions } from "./controllerFeeds.js";
-import type { UpstreamReportAge } from "./followedUpstreams.js";
 import { OtherRouters } from "./otherRouters.js";
 import type { PlacementSharer } from "./placementSharer.js";
 import type { PrepaidBorrower } from "./prepaidBorrower.js";
@@ -48,6 +47,7 @@
 import { RequestRecorder } from "./requestRecorder.js";
 import { UpstreamSignalRecorder } from "./signalReceiver.js";
 import { UpstreamNotifier } from "./upstreamTeller.js";
+import type { UpstreamReportAge } from "./upstreamUpdateTracker.js";
 
 /** Times in milliseconds. */
 export interface DirectRouterOptions extends RelayOptions, ControllerFeedsOptions {
