--- a/src/consensus/entryLength.ts
+++ b/src/consensus/entryLength.ts
@@ -1,9 +1,9 @@
-/** How long entries of the log are: a declared bundle can be a thousand times as long as another entry. */
+/** Serialized length of log entries, which varies by three orders of magnitude. */
 import type { LogEntry } from "../domain/commands.js";
 
 const lengths = new WeakMap<LogEntry, number>();
 
-/** Length of an entry as JSON, in characters. Computed once an entry. */
+/** Returns the length of an entry's JSON in characters, cached per entry. */
 export function computeEntryLength(entry: LogEntry): number {
     let length = lengths.get(entry);
     if (length === undefined) {
--- a/src/consensus/leaderAddress.ts
+++ b/src/consensus/leaderAddress.ts
@@ -1,9 +1,9 @@
-/** Where to send what only the leader of the log can answer. */
+/** Address lookup for requests that only the leader of the log can answer. */
 import { createRefusal, RefusalError } from "../domain/resultCodes.js";
 import type { ReplicaAddress } from "./replicaSet.js";
 import type { ReplicatedLog } from "./replicatedLog.js";
 
-/** The leader, asked at a replica that is not it. Throws noMajority where none is known. */
+/** Returns the leader's address as a non-leader replica knows it. Throws `noMajority` if no leader is known. */
 export function getLeaderAddress(replica: ReplicatedLog): ReplicaAddress {
     const leader = replica.tryGetLeaderAddress();
     if (leader === undefined) {
--- a/src/consensus/messages.ts
+++ b/src/consensus/messages.ts
@@ -1,52 +1,62 @@
-/** The messages of the replicated log, after Raft (Ongaro and Ousterhout 2014) with pre-vote and leader check. */
+/** RPC methods of the replicated log: Raft (Ongaro and Ousterhout, 2014) with pre-vote and check-quorum. */
 import * as z from "zod";
 import { type Command, commandSchema, type LogEntry, replicaSchema } from "../domain/commands.js";
 import { type ApplyResult } from "../domain/declaredState.js";
 import { createPeerMethod } from "../ports/peer.js";
 
-const count = z.int().min(0);
-const replica = z.string().max(128);
+const nonNegativeInteger = z.int().min(0);
+const replicaName = z.string().max(128);
 
-const voteSchema = z.object({ term: count, candidate: replica, lastIndex: count, lastTerm: count });
+const voteSchema = z.object({
+    term: nonNegativeInteger,
+    candidate: replicaName,
+    lastIndex: nonNegativeInteger,
+    lastTerm: nonNegativeInteger,
+});
 export type VoteParams = z.infer<typeof voteSchema>;
 export interface VoteAnswer {
     readonly term: number;
     readonly granted: boolean;
 }
 
-const entrySchema = z.object({ index: count, term: count, at: z.number(), command: commandSchema });
+const entrySchema = z.object({
+    index: nonNegativeInteger,
+    term: nonNegativeInteger,
+    at: z.number(),
+    command: commandSchema,
+});
 const appendSchema = z.object({
-    term: count,
-    leader: replica,
-    previousIndex: count,
-    previousTerm: count,
+    term: nonNegativeInteger,
+    leader: replicaName,
+    previousIndex: nonNegativeInteger,
+    previousTerm: nonNegativeInteger,
     entries: z.array(entrySchema).max(4096),
-    commitIndex: count,
+    commitIndex: nonNegativeInteger,
 });
 export type AppendParams = Omit<z.infer<typeof appendSchema>, "entries"> & { readonly entries: readonly LogEntry[]; };
 export interface AppendAnswer {
     readonly term: number;
     readonly success: boolean;
-    /** On success the last index known to match; otherwise where the leader should try next. */
+    /** On success, the last index known to match; otherwise the index the leader should try next. */
     readonly index: number;
-    /** Whether the replica may vote; false while it has yet to recover what its disk lost. */
+    /** Whether the replica may vote; false until it has recovered from the loss of its disk. */
     readonly isMember: boolean;
 }
 
 const snapshotSchema = z.object({
-    term: count,
-    leader: replica,
-    lastIndex: count,
-    lastTerm: count,
-    /** Position of `piece` in the snapshot's text. */
-    offset: count,
+    term: nonNegativeInteger,
+    leader: replicaName,
+    lastIndex: nonNegativeInteger,
+    lastTerm: nonNegativeInteger,
+    /** Position of `piece` in the serialized snapshot, in characters. */
+    offset: nonNegativeInteger,
     piece: z.string(),
     done: z.boolean(),
     replicas: z.array(replicaSchema).max(64).optional(),
 });
 export type SnapshotParams = z.infer<typeof snapshotSchema>;
 
-/** What a proposal came to, and the index of its entry. */
+/** The result of a proposal and the index of its entry. */
 export interface ProposeAnswer {
     readonly index: number;
     readonly result: ApplyResult;
@@ -63,13 +73,13 @@
     "log.propose",
     z.object({ command: commandSchema }),
 );
-/** Asks a leader to confirm itself; `exclude` names a replica whose word may not count. */
+/** Asks a leader to confirm its leadership with a majority; `exclude` names a replica whose answers don't count. */
 export const readIndexMethod = createPeerMethod<{ exclude?: string | undefined; }, { index: number; term: number; }>(
     "log.readIndex",
-    z.object({ exclude: replica.optional() }),
+    z.object({ exclude: replicaName.optional() }),
 );
 
-/** What a replica has, for one that finds its own disk empty. */
+/** Answer to a replica with an empty disk that checks whether the whole deployment is new. */
 export interface ReplicaState {
     readonly term: number;
     readonly lastIndex: number;
@@ -80,8 +90,8 @@
 );
 
 /**
- * Since when a replica has the entry of a term at an index, in milliseconds; `ms` is left out where it cannot say.
- * `isMeasured`: the process that says so took it itself.
+ * Asks a replica how long ago it appended the entry with this index and term. `ms` is omitted if unknown. `isMeasured`: the
+ * answering process appended the entry itself and measured its age on the monotonic clock.
  */
 export const entryAgeMethod = createPeerMethod<
     { index: number; term: number; },
@@ -91,7 +101,7 @@
     z.object({ index: z.int().min(0), term: z.int().min(0) }),
 );
 
-/** A controller asks to be added to the replicas. Any controller takes it; the leader does it. */
+/** Requests that a controller be added to the replica set. Any controller accepts it and forwards it to the leader. */
 export const joinMethod = createPeerMethod<{ name: string; address: string; }, { isReplica: boolean; }>(
     "log.join",
     z.object({ name: z.string().min(1).max(128), address: z.string().min(3).max(128) }),
--- a/src/consensus/pendingProposals.ts
+++ b/src/consensus/pendingProposals.ts
@@ -1,4 +1,4 @@
-/** Proposals that wait for their entries to be applied. */
+/** Proposals whose entries have not been applied yet. */
 import type { LogEntry } from "../domain/commands.js";
 import type { ApplyResult } from "../domain/declaredState.js";
 import { createRefusal, RefusalError } from "../domain/resultCodes.js";
@@ -13,10 +13,10 @@
 export class PendingProposals {
     private readonly pending = new Map<number, PendingProposal>();
 
-    /** `timeoutMs`: how long a proposal waits. `retryAfterMs`: when its proposer should ask again. */
+    /** @param retryAfterMs Delay after which a proposer whose proposal timed out should retry. */
     constructor(private readonly timeoutMs: number, private readonly retryAfterMs: number) {}
 
-    /** Waits for an entry; rejects with changeUnknown where it is not known in time what became of it. */
+    /** Waits for an entry to be applied; rejects with `changeUnknown` if its outcome is not known in time. */
     add(entry: LogEntry): Promise<ProposeAnswer> {
         const answer = new Promise<ProposeAnswer>((resolve, reject) => {
             this.pending.set(entry.index, { term: entry.term, resolve, reject });
@@ -26,7 +26,7 @@
         return answer;
     }
 
-    /** Answers the proposal that waits for an applied entry, if there is one. */
+    /** Settles the proposal of an applied entry, if there is one. */
     resolve(entry: LogEntry, result: ApplyResult): void {
         const proposal = this.pending.get(entry.index);
         if (proposal === undefined) {
@@ -37,12 +37,16 @@
             proposal.resolve({ index: entry.index, result });
         }
         else {
-            // Another leader's entry took the place of the proposed one.
-            proposal.reject(new RefusalError(createRefusal("noMajority", "another leader took over", "no")));
+            // Another leader's entry replaced the proposed one at this index.
+            proposal.reject(
+                new RefusalError(
+                    createRefusal("noMajority", "the proposed entry was replaced by another leader's", "no"),
+                ),
+            );
         }
     }
 
-    /** Ends every wait: the entries may or may not come to be applied. */
+    /** Rejects all pending proposals with `changeUnknown`: their entries may still be committed. */
     failAll(): void {
         for (const index of [...this.pending.keys()]) {
             this.fail(index);
--- a/src/consensus/replicatedLogOptions.ts
+++ b/src/consensus/replicatedLogOptions.ts
@@ -1,16 +1,15 @@
-/** What a replica of the log is told at its start. */
 import type { ReplicaSetOptions } from "./replicaSet.js";
 
-/** Times in milliseconds. */
+/** Startup options of a replica. Times in milliseconds. */
 export interface ReplicatedLogOptions extends ReplicaSetOptions {
     readonly electionTimeoutMs: number;
     readonly heartbeatMs: number;
-    /** How long a proposal waits to be applied. */
+    /** How long a proposal waits for its entry to be applied. */
     readonly proposeTimeoutMs: number;
-    /** Entries applied between snapshots. */
+    /** Number of entries applied between snapshots. */
     readonly snapshotEvery: number;
-    /** Seeded, so that tests repeat. Answers a number in [0, 1). */
+    /** Returns a number in [0, 1). Seeded in tests. */
     readonly random: () => number;
-    /** The whole fleet starts for the first time: a founder need not ask the others whether they are new too. */
+    /** The whole deployment starts for the first time, so the replica need not check whether the others are new, too. */
     readonly isFirstStart?: boolean | undefined;
 }
--- a/src/consensus/signal.ts
+++ b/src/consensus/signal.ts
@@ -1,15 +1,14 @@
-/** Lets tasks wait until something has changed. */
+/** A condition variable: lets tasks wait until another task notifies them. */
 export class Signal {
     private waiters: (() => void)[] = [];
 
-    /** Wakes every task that waits. */
     notifyAll(): void {
         const waiters = this.waiters;
         this.waiters = [];
         waiters.forEach(wake => wake());
     }
 
-    /** Resolves at the next change, or after `timeoutMs` at the latest. */
+    /** Resolves at the next notification, or after `timeoutMs`. */
     wait(timeoutMs: number): Promise<void> {
         return new Promise(resolve => {
             const timer = setTimeout(resolve, timeoutMs);
