--- a/src/consensus/entryAges.ts
+++ b/src/consensus/entryAges.ts
@@ -1,8 +1,7 @@
 /**
- * Since when the replicas have an entry of the log. A leader that took the entry itself measures it, and those of the others
- * that did the same: the longest counts, since a box that was suspended may have missed time, and may not know it where its
- * time of day was set back meanwhile. Any other leader asks for the replicas' times of day too, since its own clock may say
- * nothing of a time before its process, or may have stepped.
+ * Computes how long ago the replicas appended a log entry. If the leader's process appended it, the result is the maximum of
+ * the ages measured on monotonic clocks: a replica whose box was suspended may measure too little. Otherwise the leader
+ * collects the ages by each replica's clock, because its own may have stepped.
  */
 import type { EntryAge } from "../domain/routerLife.js";
 import type { Clock } from "../ports/clock.js";
@@ -12,14 +11,11 @@
 import { entryAgeMethod } from "./messages.js";
 import type { ReplicaSet } from "./replicaSet.js";
 
-/** How long other replicas are waited for, in milliseconds: some ten times the way between zones and back. */
-const ASK_TIMEOUT_MS = 100;
+/** About ten round trips between zones. */
+const QUERY_TIMEOUT_MS = 100;
 
-/**
- * How often the box's time of day is looked at, in milliseconds: a step that comes less than this and a sync before a loss
- * of power is not known afterwards.
- */
-const CLOCK_WATCH_MS = 100;
+/** A wall clock step that occurs less than this, plus one sync, before a power loss goes undetected. */
+const CLOCK_CHECK_INTERVAL_MS = 100;
 
 export class EntryAges {
     constructor(
@@ -35,14 +31,14 @@
             if (this.storage.tryGetTerm(index) !== term) {
                 return {};
             }
-            const measuredMs = this.storage.tryMeasureSinceTaken(index);
-            return { ms: measuredMs ?? this.storage.tryGetMsSinceTaken(index), isMeasured: measuredMs !== undefined };
+            const measuredMs = this.storage.tryMeasureAgeMs(index);
+            return { ms: measuredMs ?? this.storage.tryGetAgeMs(index), isMeasured: measuredMs !== undefined };
         });
     }
 
-    /** The task that notices steps of the box's time of day. */
-    async runClockWatch(clock: Clock, isStopped: () => boolean): Promise<void> {
-        let aheadMs = this.storage.getClockAheadMs();
+    /** Detects and records wall clock steps until the replica stops. */
+    async runClockMonitor(clock: Clock, isStopped: () => boolean): Promise<void> {
+        let offsetMs = this.storage.getClockOffsetMs();
         while (!isStopped()) {
             try {
                 await this.storage.observeClock();
@@ -50,41 +46,42 @@
             catch (error) {
                 this.log.warn("clock_step_not_saved", { error: String(error) });
             }
-            if (this.storage.getClockAheadMs() !== aheadMs) {
-                aheadMs = this.storage.getClockAheadMs();
-                this.log.warn("clock_stepped", { ahead_ms: Math.round(aheadMs) });
+            if (this.storage.getClockOffsetMs() !== offsetMs) {
+                offsetMs = this.storage.getClockOffsetMs();
+                this.log.warn("clock_stepped", { ahead_ms: Math.round(offsetMs) });
             }
-            await clock.wait(CLOCK_WATCH_MS);
+            await clock.wait(CLOCK_CHECK_INTERVAL_MS);
         }
     }
 
+    /** Collects the age of the entry at `index` from all replicas that answer in time. */
     async gather(index: number): Promise<EntryAge> {
         const term = this.storage.tryGetTerm(index);
-        const isOwn = this.isLeader() && term === this.storage.term
-            && this.storage.tryMeasureSinceTaken(index) !== undefined;
-        const others = term === undefined ? [] : this.replicas.getOthers();
-        const told = await Promise.all(others.map(other => this.tryAsk(other.address, index, term!)));
-        const answers = told.filter(answer => answer !== undefined);
-        // Its own last: the time that it waited for the others counts.
-        const ownMs = this.storage.tryGetMsSinceTaken(index);
-        if (isOwn && ownMs !== undefined) {
+        const isMeasuredLocally = this.isLeader() && term === this.storage.term
+            && this.storage.tryMeasureAgeMs(index) !== undefined;
+        const peers = term === undefined ? [] : this.replicas.getOthers();
+        const replies = await Promise.all(peers.map(peer => this.tryFetchAge(peer.address, index, term!)));
+        const answers = replies.filter(answer => answer !== undefined);
+        // Read after the replies, so that the local age includes the time spent waiting for them.
+        const localMs = this.storage.tryGetAgeMs(index);
+        if (isMeasuredLocally && localMs !== undefined) {
             const measuredMs = answers.filter(({ isMeasured }) => isMeasured).map(({ ms }) => ms);
-            return { measuredMs: Math.max(ownMs, ...measuredMs), witnessedMs: [] };
+            return { measuredMs: Math.max(localMs, ...measuredMs), witnessedMs: [] };
         }
         return {
             measuredMs: undefined,
-            witnessedMs: [ownMs, ...answers.map(({ ms }) => ms)].filter(ms => ms !== undefined),
+            witnessedMs: [localMs, ...answers.map(({ ms }) => ms)].filter(ms => ms !== undefined),
         };
     }
 
-    private async tryAsk(
+    private async tryFetchAge(
         address: string,
         index: number,
         term: number,
     ): Promise<{ ms: number; isMeasured: boolean; } | undefined> {
         try {
             const startedAt = performance.now();
-            const answer = await this.network.call(address, entryAgeMethod, { index, term }, ASK_TIMEOUT_MS);
+            const answer = await this.network.call(address, entryAgeMethod, { index, term }, QUERY_TIMEOUT_MS);
             const ms = answer.ms === undefined ? undefined : answer.ms + performance.now() - startedAt;
             return ms === undefined ? undefined : { ms, isMeasured: answer.isMeasured === true };
         }
--- a/src/consensus/joining.ts
+++ b/src/consensus/joining.ts
@@ -1,7 +1,7 @@
 /**
- * Joins a replica that found nothing on its disk. It may have voted and acknowledged before it lost its disk, so it
- * votes only when either the whole fleet is new, or a leader confirmed by a majority of the others has brought it up
- * to date. Doing no work before it is known to be safe follows the generation numbers of Neon's RFC 025 and 028.
+ * Readmits a replica whose disk is empty. It may have voted and acknowledged entries before it lost its disk, so it votes
+ * only if the whole deployment is new, or after it has caught up with a leader that a majority confirmed, not counting
+ * this replica.
  */
 import type { Clock } from "../ports/clock.js";
 import type { Log } from "../ports/log.js";
@@ -11,8 +11,8 @@
 import type { ReplicatedLog } from "./replicatedLog.js";
 import type { ReplicatedLogOptions } from "./replicatedLogOptions.js";
 
-/** Tries until the replica has joined or is stopped. */
-export async function runJoining(
+/** Retries until the replica has joined or is stopped. */
+export async function runJoinLoop(
     replica: ReplicatedLog,
     storage: LogStorage,
     network: PeerNetwork,
@@ -21,9 +21,9 @@
     options: ReplicatedLogOptions,
 ): Promise<void> {
     while (!replica.isStopped()) {
-        const isFleetNew = options.isFirstStart ?? await isWholeFleetNew(network, options);
-        const mayJoin = isFleetNew || await isCaughtUpWithOthers(replica, storage, network, options);
-        // The others may have answered after the stop, when the journal is closed.
+        const isNew = options.isFirstStart ?? await isNewDeployment(network, options);
+        const mayJoin = isNew || await isCaughtUpWithLeader(replica, storage, network, options);
+        // The answers may arrive after the replica was stopped and its journal closed.
         if (replica.isStopped()) {
             return;
         }
@@ -36,17 +36,17 @@
     }
 }
 
-async function isWholeFleetNew(network: PeerNetwork, options: ReplicatedLogOptions): Promise<boolean> {
-    const asked = options.others.map(other =>
+async function isNewDeployment(network: PeerNetwork, options: ReplicatedLogOptions): Promise<boolean> {
+    const requests = options.others.map(other =>
         network.call(other.address, replicaStateMethod, {}, options.electionTimeoutMs)
     );
-    const answers = await Promise.allSettled(asked);
+    const answers = await Promise.allSettled(requests);
     return answers.every(answer =>
         answer.status === "fulfilled" && answer.value.term === 0 && answer.value.lastIndex === 0
     );
 }
 
-async function isCaughtUpWithOthers(
+async function isCaughtUpWithLeader(
     replica: ReplicatedLog,
     storage: LogStorage,
     network: PeerNetwork,
--- a/src/consensus/logApplier.ts
+++ b/src/consensus/logApplier.ts
@@ -1,4 +1,4 @@
-/** Applies what is committed to the declared state, in order, and stands in for the log by snapshots. */
+/** Applies committed entries to the declared state in order, and compacts the log with snapshots. */
 import type { LogEntry } from "../domain/commands.js";
 import { type ApplyResult, DeclaredState, type StateSnapshot } from "../domain/declaredState.js";
 import { assertInvariant } from "../domain/resultCodes.js";
@@ -7,24 +7,20 @@
 import type { PendingProposals } from "./pendingProposals.js";
 import { Signal } from "./signal.js";
 
-/**
- * Characters of entries after which a snapshot is taken, however few they are: they are held in memory and on the disk.
- * Four of the longest bundles; 2,000 entries, of which 100 are bundles of 1,700 routes, would come to 45 MB.
- */
-const MAX_LENGTH_AFTER_SNAPSHOT = 16 * 1024 * 1024;
+/** Characters of entries after which a snapshot is taken regardless of their count: bounds memory and disk use. */
+const SNAPSHOT_LENGTH_THRESHOLD = 16 * 1024 * 1024;
 
-/** Called for each applied entry, in order. */
 export type AppliedHandler = (entry: LogEntry, result: ApplyResult) => void;
 
 export class LogApplier {
     readonly state = new DeclaredState();
-    /** Wakes whoever waits for entries to be applied. */
-    readonly applied = new Signal();
-    private index = 0;
+    /** Notified when entries or a snapshot have been applied. */
+    readonly appliedSignal = new Signal();
+    private appliedIndex = 0;
     private readonly appliedHandlers: AppliedHandler[] = [];
     private readonly snapshotHandlers: (() => void)[] = [];
 
-    /** `snapshotEvery`: entries applied between snapshots. */
+    /** @param snapshotEvery Number of entries applied between snapshots. */
     constructor(
         private readonly storage: LogStorage,
         private readonly proposals: PendingProposals,
@@ -32,52 +28,52 @@
         private readonly snapshotEvery: number,
     ) {}
 
-    /** Index of the last entry applied. */
-    getIndex(): number {
-        return this.index;
+    getAppliedIndex(): number {
+        return this.appliedIndex;
     }
 
+    /** Registers a handler that is called for each applied entry, in order. */
     onApplied(handler: AppliedHandler): void {
         this.appliedHandlers.push(handler);
     }
 
-    /** Calls back when a state has come in place of entries that were not applied one by one. */
+    /** Registers a handler that is called when a snapshot has replaced the state. */
     onSnapshotLoaded(handler: () => void): void {
         this.snapshotHandlers.push(handler);
     }
 
-    /** Takes a state that stands for all entries up to `index`. */
+    /** Replaces the state with a snapshot that covers all entries up to `index`. */
     loadState(state: StateSnapshot, index: number): void {
         this.state.loadSnapshot(state);
-        this.index = index;
-        this.applied.notifyAll();
+        this.appliedIndex = index;
+        this.appliedSignal.notifyAll();
         this.snapshotHandlers.forEach(handler => handler());
     }
 
     /** Applies every entry up to `commitIndex`. */
     applyUpTo(commitIndex: number): void {
-        while (this.index < commitIndex) {
-            const entry = this.storage.tryGetEntry(this.index + 1);
-            assertInvariant(entry !== undefined, "a committed entry is in the log");
+        while (this.appliedIndex < commitIndex) {
+            const entry = this.storage.tryGetEntry(this.appliedIndex + 1);
+            assertInvariant(entry !== undefined, "a committed entry must be in the log");
             const result = this.state.apply(entry);
-            this.index = entry.index;
+            this.appliedIndex = entry.index;
             this.appliedHandlers.forEach(handler => handler(entry, result));
             this.proposals.resolve(entry, result);
         }
-        this.applied.notifyAll();
-        const count = this.index - this.storage.getSnapshotIndex();
-        const isLong = count > 0 && this.storage.getLengthAfterSnapshot() > MAX_LENGTH_AFTER_SNAPSHOT;
-        if (count >= this.snapshotEvery || isLong) {
+        this.appliedSignal.notifyAll();
+        const count = this.appliedIndex - this.storage.getSnapshotIndex();
+        const exceedsLength = count > 0 && this.storage.getLengthAfterSnapshot() > SNAPSHOT_LENGTH_THRESHOLD;
+        if (count >= this.snapshotEvery || exceedsLength) {
             this.saveSnapshot();
         }
     }
 
     private saveSnapshot(): void {
         const snapshot = {
-            lastIndex: this.index,
-            lastTerm: this.storage.tryGetTerm(this.index)!,
+            lastIndex: this.appliedIndex,
+            lastTerm: this.storage.tryGetTerm(this.appliedIndex)!,
             state: this.state.createSnapshot(),
-            replicas: this.storage.findReplicas(this.index),
+            replicas: this.storage.findReplicas(this.appliedIndex),
         };
         this.storage.saveSnapshot(snapshot).catch(error => this.log.error("snapshot_failed", { error: String(error) }));
     }
--- a/src/consensus/logStorage.ts
+++ b/src/consensus/logStorage.ts
@@ -1,4 +1,4 @@
-/** The replicated log on disk: term and vote, entries, and the snapshot that stands for the entries before it. */
+/** Persistent state of the replicated log: term, vote, entries, and the snapshot that replaces earlier entries. */
 import type { LogEntry, Replica } from "../domain/commands.js";
 import type { StateSnapshot } from "../domain/declaredState.js";
 import { TimeOfDayWatch } from "../domain/timeOfDayWatch.js";
@@ -6,12 +6,12 @@
 import type { Journal, OpenedJournal } from "../ports/journal.js";
 import { computeEntryLength, sumEntryLengths } from "./entryLength.js";
 
-/** A state with the place in the log it stands for. */
+/** State after all entries up to `lastIndex`. */
 export interface LogSnapshot {
     readonly lastIndex: number;
     readonly lastTerm: number;
     readonly state: StateSnapshot;
-    /** The replicas at that place; left out where they are fixed by settings. */
+    /** The replica set at `lastIndex`; omitted if it is fixed by the settings. */
     readonly replicas?: readonly Replica[];
 }
 
@@ -19,103 +19,100 @@
     | { readonly type: "member"; }
     | { readonly type: "term"; readonly term: number; readonly votedFor?: string; }
     | { readonly type: "entries"; readonly entries: readonly LogEntry[]; readonly takenWallMs?: number; }
-    /** The times of day noted before it say nothing any more. `aheadMs`: how far the steps so far come to. */
+    /** Invalidates the wall clock times recorded before it. `aheadMs`: sum of the steps so far. */
     | { readonly type: "clockStep"; readonly aheadMs: number; }
     | { readonly type: "taken"; readonly wallMs: readonly (readonly [number, number])[]; }
     | { readonly type: "snapshot"; readonly snapshot: LogSnapshot; };
 
-/** When an entry was taken. */
-interface TakenTime {
-    /** Undefined where the box's time of day could not be gone by, or has stepped since. */
+/** When this replica appended an entry. */
+interface AppendTime {
+    /** Undefined if the wall clock was not reliable at the time, or has stepped since. */
     readonly wallMs: number | undefined;
-    /**
-     * On the monotonic clock, and what that may have missed. Undefined where an earlier process took it: nobody can tell
-     * whether the box's clock has run on since.
-     */
+    /** On the monotonic clock corrected for suspensions. Undefined if an earlier process appended the entry. */
     readonly elapsedMs: number | undefined;
 }
 
-/** Of how many entries it is remembered when they were taken. */
-const TAKEN_TIMES = 4_096;
+/** Number of entries whose append time is kept. */
+const MAX_APPEND_TIMES = 4_096;
 
-/** Holds the log in memory as it is on disk. Every method that returns a promise resolves once synced. */
+/** Keeps a copy of the log in memory. Promises returned by its methods resolve once the data is synced. */
 export class LogStorage {
     term = 0;
     votedFor: string | undefined;
     snapshot: LogSnapshot | undefined;
-    /** Index up to which everything is synced. */
+    /** Index up to which all entries are synced. */
     syncedIndex = 0;
-    /** Whether this replica may vote; false on a new or emptied disk until it has joined. */
+    /** Whether this replica may vote; false on a new or erased disk until it has joined. */
     isMember = false;
-    /** The replicas as of the newest entry here; empty where no entry has named any. */
+    /** The replica set as of the last entry; empty if no entry defines one. */
     replicas: readonly Replica[] = [];
     private entries: LogEntry[] = [];
     private lengthAfterSnapshot = 0;
     private readonly journal: Journal;
     private lastWrite: Promise<void> = Promise.resolve();
-    private readonly takenTimes = new Map<number, TakenTime>();
-    private readonly timeOfDay = new TimeOfDayWatch();
+    private readonly appendTimes = new Map<number, AppendTime>();
+    private readonly wallClockMonitor = new TimeOfDayWatch();
 
     constructor(opened: OpenedJournal, private readonly clock: Clock = new SystemClock()) {
         this.journal = opened.journal;
-        (opened.records as readonly StoredRecord[]).forEach(record => this.load(record));
+        (opened.records as readonly StoredRecord[]).forEach(record => this.replayRecord(record));
         this.syncedIndex = this.getLastIndex();
         this.replicas = this.findReplicas(this.getLastIndex());
     }
 
     /**
-     * Milliseconds since this replica took the entry at `index`, undefined where it cannot say: as measured where this process
-     * took it, else by the box's time of day, which may have stepped while no process ran.
+     * Returns the milliseconds since this replica appended the entry at `index`, or undefined if unknown. Measured if this
+     * process appended it; otherwise by the wall clock, which may have stepped while no process was running.
      */
-    tryGetMsSinceTaken(index: number): number | undefined {
-        const taken = this.takenTimes.get(index);
-        const measuredMs = this.tryMeasureSinceTaken(index);
+    tryGetAgeMs(index: number): number | undefined {
+        const appendTime = this.appendTimes.get(index);
+        const measuredMs = this.tryMeasureAgeMs(index);
         if (measuredMs !== undefined) {
             return measuredMs;
         }
-        return taken?.wallMs === undefined ? undefined : this.clock.getWallMs() - taken.wallMs;
+        return appendTime?.wallMs === undefined ? undefined : this.clock.getWallMs() - appendTime.wallMs;
     }
 
     /**
-     * The same where this process took it: on the monotonic clock, with the time that the box may have been suspended for. By
-     * the monotonic clock alone a leader that had been suspended gave back tokens that were spent meanwhile.
+     * Like `tryGetAgeMs`, but only for entries that this process appended. Includes the time for which the box may have been
+     * suspended, which the monotonic clock misses: an age that is too short would release tokens that were already spent.
      */
-    tryMeasureSinceTaken(index: number): number | undefined {
-        const elapsedMs = this.takenTimes.get(index)?.elapsedMs;
+    tryMeasureAgeMs(index: number): number | undefined {
+        const elapsedMs = this.appendTimes.get(index)?.elapsedMs;
         return elapsedMs === undefined ? undefined : this.getElapsedMs() - elapsedMs;
     }
 
     /**
-     * When the box's monotonic clock last missed time, as far as can be told (see `TimeOfDayWatch`): what was heard before is
-     * older than it looks. On that clock, milliseconds.
+     * Returns when the monotonic clock last appears to have missed time, on that clock in milliseconds (see
+     * `TimeOfDayWatch`). Anything received before then is older than its timestamp suggests.
      */
-    getMissedAt(): number {
-        return this.timeOfDay.getMissedAt(this.clock.getWallMs(), this.clock.getMonotonicMs());
+    getLastMissedAt(): number {
+        return this.wallClockMonitor.getMissedAt(this.clock.getWallMs(), this.clock.getMonotonicMs());
     }
 
     private getElapsedMs(): number {
         const monotonicMs = this.clock.getMonotonicMs();
-        return monotonicMs + this.timeOfDay.getMissedMs(this.clock.getWallMs(), monotonicMs);
+        return monotonicMs + this.wallClockMonitor.getMissedMs(this.clock.getWallMs(), monotonicMs);
     }
 
-    /** Looks whether the box's time of day has stepped; resolves once that is saved. */
+    /** Checks whether the wall clock has stepped; resolves once a step is saved. */
     async observeClock(): Promise<void> {
-        if (this.timeOfDay.observe(this.clock.getWallMs(), this.clock.getMonotonicMs())) {
-            this.forgetTimesOfDay();
-            await this.write({ type: "clockStep", aheadMs: this.timeOfDay.getAheadMs() });
+        if (this.wallClockMonitor.observe(this.clock.getWallMs(), this.clock.getMonotonicMs())) {
+            this.clearWallTimes();
+            await this.write({ type: "clockStep", aheadMs: this.wallClockMonitor.getAheadMs() });
         }
     }
 
-    /** How far the steps of the box's time of day come to, in milliseconds; 0 once they have been taken back. */
-    getClockAheadMs(): number {
-        return this.timeOfDay.getAheadMs();
+    /** Returns the sum of the wall clock's steps in milliseconds; 0 once they have been reversed. */
+    getClockOffsetMs(): number {
+        return this.wallClockMonitor.getAheadMs();
     }
 
     getLastIndex(): number {
         return this.entries[this.entries.length - 1]?.index ?? this.getSnapshotIndex();
     }
 
-    /** The replicas as of the entry at `index`. */
+    /** Returns the replica set as of the entry at `index`. */
     findReplicas(index: number): readonly Replica[] {
         for (let i = index; i > this.getSnapshotIndex(); i--) {
             const command = this.tryGetEntry(i)?.command;
@@ -126,8 +123,8 @@
         return this.snapshot?.replicas ?? [];
     }
 
-    /** Index of the newest entry that names replicas, or the snapshot's where none after it does. */
-    findReplicasIndex(): number {
+    /** Returns the index of the latest `setReplicas` entry, or of the snapshot if none follows it. */
+    findReplicaSetIndex(): number {
         for (let i = this.getLastIndex(); i > this.getSnapshotIndex(); i--) {
             if (this.tryGetEntry(i)?.command.type === "setReplicas") {
                 return i;
@@ -140,7 +137,7 @@
         return this.snapshot?.lastIndex ?? 0;
     }
 
-    /** Term of the entry at `index`, or undefined where the log does not hold it. */
+    /** Returns the term of the entry at `index`, or undefined if the log does not contain it. */
     tryGetTerm(index: number): number | undefined {
         if (index === this.getSnapshotIndex()) {
             return this.snapshot?.lastTerm ?? 0;
@@ -152,7 +149,7 @@
         return this.entries[index - this.getSnapshotIndex() - 1];
     }
 
-    /** Up to `limit` entries from `index` on, which are `maxLength` characters long at the most or a single one. */
+    /** Returns up to `limit` entries from `index` on, of at most `maxLength` characters in total unless it is a single entry. */
     getEntriesFrom(index: number, limit: number, maxLength: number): LogEntry[] {
         const start = index - this.getSnapshotIndex() - 1;
         const entries = this.entries.slice(start, start + limit);
@@ -164,13 +161,13 @@
         return end < 0 ? entries : entries.slice(0, end);
     }
 
-    /** Length of the entries after the snapshot, in characters. */
+    /** Returns the length of the entries after the snapshot in characters. */
     getLengthAfterSnapshot(): number {
         return this.lengthAfterSnapshot;
     }
 
-    /** Where a leader should try next, if the entry before its new ones is not the same here. */
-    tryGetMismatch(previousIndex: number, previousTerm: number): number | undefined {
+    /** Returns the index the leader should try next if the entry preceding its new ones does not match; else undefined. */
+    tryFindConflictIndex(previousIndex: number, previousTerm: number): number | undefined {
         if (previousIndex < this.getSnapshotIndex()) {
             return this.getSnapshotIndex() + 1;
         }
@@ -188,7 +185,7 @@
         return index;
     }
 
-    /** The entries from the first one on that is not here yet, so that a late copy of an append drops nothing. */
+    /** Skips entries the log already contains, so that a delayed duplicate of an append truncates nothing. */
     getNewEntries(entries: readonly LogEntry[]): readonly LogEntry[] {
         const first = entries.findIndex(entry => this.tryGetTerm(entry.index) !== entry.term);
         return first < 0 ? [] : entries.slice(first);
@@ -200,51 +197,51 @@
         await this.write({ type: "term", term, ...(votedFor === undefined ? {} : { votedFor }) });
     }
 
-    /** Notes that this replica has joined and may vote. */
+    /** Records that this replica has joined and may vote. */
     async saveMembership(): Promise<void> {
         this.isMember = true;
         await this.write({ type: "member" });
     }
 
-    /** Resolves once everything saved so far is synced, also by calls that came before. */
+    /** Resolves once all earlier writes are synced. */
     async waitSynced(): Promise<void> {
         await this.lastWrite;
     }
 
-    /** Appends entries, dropping whatever stood at or after the first one's index. */
+    /** Appends entries, truncating the log at the first one's index. */
     async append(entries: readonly LogEntry[]): Promise<void> {
         if (entries.length === 0) {
             return;
         }
-        this.placeEntries(entries);
+        this.insertEntries(entries);
         this.syncedIndex = Math.min(this.syncedIndex, entries[0]!.index - 1);
-        const stepSaved = this.observeClock();
+        const stepWrite = this.observeClock();
         const monotonicMs = this.clock.getMonotonicMs();
-        const wallMs = this.timeOfDay.isSteady(monotonicMs) ? this.clock.getWallMs() : undefined;
-        this.noteTaken(entries, { wallMs, elapsedMs: this.getElapsedMs() });
+        const wallMs = this.wallClockMonitor.isSteady(monotonicMs) ? this.clock.getWallMs() : undefined;
+        this.recordAppendTime(entries, { wallMs, elapsedMs: this.getElapsedMs() });
         const takenWallMs = wallMs === undefined ? {} : { takenWallMs: wallMs };
-        await Promise.all([stepSaved, this.write({ type: "entries", entries, ...takenWallMs })]);
+        await Promise.all([stepWrite, this.write({ type: "entries", entries, ...takenWallMs })]);
         const last = entries[entries.length - 1]!;
         if (this.tryGetTerm(last.index) === last.term) {
             this.syncedIndex = Math.max(this.syncedIndex, last.index);
         }
     }
 
-    /** Takes a snapshot in place of the entries up to it. */
+    /** Replaces the entries up to the snapshot with it. */
     async saveSnapshot(snapshot: LogSnapshot): Promise<void> {
-        const keep = this.tryGetTerm(snapshot.lastIndex) === snapshot.lastTerm;
-        const rest = keep ? this.entries.filter(entry => entry.index > snapshot.lastIndex) : [];
+        const isPrefix = this.tryGetTerm(snapshot.lastIndex) === snapshot.lastTerm;
+        const remaining = isPrefix ? this.entries.filter(entry => entry.index > snapshot.lastIndex) : [];
         this.snapshot = snapshot;
-        this.entries = rest;
-        this.lengthAfterSnapshot = sumEntryLengths(rest);
+        this.entries = remaining;
+        this.lengthAfterSnapshot = sumEntryLengths(remaining);
         this.replicas = this.findReplicas(this.getLastIndex());
         this.lastWrite = this.journal.replaceAll([
             ...(this.isMember ? [{ type: "member" }] : []),
             { type: "snapshot", snapshot },
             { type: "term", term: this.term, ...(this.votedFor === undefined ? {} : { votedFor: this.votedFor }) },
-            ...(rest.length > 0 ? [{ type: "entries", entries: rest }] : []),
-            { type: "clockStep", aheadMs: this.timeOfDay.getAheadMs() },
-            { type: "taken", wallMs: this.listTimesOfDay() },
+            ...(remaining.length > 0 ? [{ type: "entries", entries: remaining }] : []),
+            { type: "clockStep", aheadMs: this.wallClockMonitor.getAheadMs() },
+            { type: "taken", wallMs: this.listWallTimes() },
         ]);
         await this.lastWrite;
         this.syncedIndex = Math.max(this.syncedIndex, this.snapshot.lastIndex);
@@ -259,7 +256,7 @@
         return this.lastWrite;
     }
 
-    private load(record: StoredRecord): void {
+    private replayRecord(record: StoredRecord): void {
         switch (record.type) {
             case "member":
                 this.isMember = true;
@@ -270,15 +267,15 @@
                 return;
             case "entries":
                 if (record.takenWallMs !== undefined) {
-                    this.noteTaken(record.entries, { wallMs: record.takenWallMs, elapsedMs: undefined });
+                    this.recordAppendTime(record.entries, { wallMs: record.takenWallMs, elapsedMs: undefined });
                 }
-                return this.placeEntries(record.entries);
+                return this.insertEntries(record.entries);
             case "clockStep":
-                this.timeOfDay.resume(record.aheadMs);
-                return this.forgetTimesOfDay();
+                this.wallClockMonitor.resume(record.aheadMs);
+                return this.clearWallTimes();
             case "taken":
                 for (const [index, wallMs] of record.wallMs) {
-                    this.takenTimes.set(index, { wallMs, elapsedMs: undefined });
+                    this.appendTimes.set(index, { wallMs, elapsedMs: undefined });
                 }
                 return;
             case "snapshot":
@@ -289,29 +286,29 @@
         }
     }
 
-    private forgetTimesOfDay(): void {
-        this.takenTimes.forEach(({ elapsedMs }, index) => {
-            this.takenTimes.set(index, { wallMs: undefined, elapsedMs });
+    private clearWallTimes(): void {
+        this.appendTimes.forEach(({ elapsedMs }, index) => {
+            this.appendTimes.set(index, { wallMs: undefined, elapsedMs });
         });
     }
 
-    private listTimesOfDay(): (readonly [number, number])[] {
-        return [...this.takenTimes].flatMap(([index, { wallMs }]) =>
+    private listWallTimes(): (readonly [number, number])[] {
+        return [...this.appendTimes].flatMap(([index, { wallMs }]) =>
             wallMs === undefined ? [] : [[index, wallMs] as const]
         );
     }
 
-    private noteTaken(entries: readonly LogEntry[], taken: TakenTime): void {
+    private recordAppendTime(entries: readonly LogEntry[], appendTime: AppendTime): void {
         for (const entry of entries) {
-            this.takenTimes.delete(entry.index);
-            this.takenTimes.set(entry.index, taken);
+            this.appendTimes.delete(entry.index);
+            this.appendTimes.set(entry.index, appendTime);
         }
-        while (this.takenTimes.size > TAKEN_TIMES) {
-            this.takenTimes.delete(this.takenTimes.keys().next().value!);
+        while (this.appendTimes.size > MAX_APPEND_TIMES) {
+            this.appendTimes.delete(this.appendTimes.keys().next().value!);
         }
     }
 
-    private placeEntries(entries: readonly LogEntry[]): void {
+    private insertEntries(entries: readonly LogEntry[]): void {
         const start = entries[0]!.index - this.getSnapshotIndex() - 1;
         const dropped = this.entries.splice(Math.max(0, start));
         for (const entry of entries) {
--- a/src/consensus/peerProgress.ts
+++ b/src/consensus/peerProgress.ts
@@ -1,24 +1,23 @@
-/** What a leader knows of its peers: how far each log matches, and when each was last heard. */
+/** Replication progress of a leader's peers: how far each log matches, and when each last answered. */
 import type { ReplicaSet } from "./replicaSet.js";
 
-/** One peer's progress. */
 export interface PeerProgress {
     nextIndex: number;
     matchIndex: number;
-    /** When the newest message that the peer has answered was sent. Monotonic clock, milliseconds. */
-    heardAt: number;
-    /** Whether the peer may vote: false while it has yet to recover what its disk lost. */
+    /** When the latest message that the peer answered was sent, on the monotonic clock in milliseconds. */
+    lastContactAt: number;
+    /** Whether the peer may vote; false until it has recovered from the loss of its disk. */
     isMember: boolean;
 }
 
-export class LeaderProgress {
+export class PeerProgressTracker {
     private readonly peers = new Map<string, PeerProgress>();
 
     constructor(private readonly self: string, private readonly replicas: ReplicaSet) {}
 
-    /** Begins anew for one peer, as a term of leading begins. */
+    /** Starts tracking a peer from `nextIndex`, discarding earlier progress. */
     reset(name: string, nextIndex: number, now: number): PeerProgress {
-        const progress = { nextIndex, matchIndex: 0, heardAt: now, isMember: false };
+        const progress = { nextIndex, matchIndex: 0, lastContactAt: now, isMember: false };
         this.peers.set(name, progress);
         return progress;
     }
@@ -35,18 +34,20 @@
         this.peers.delete(name);
     }
 
-    /** The latest time since which a majority, the leader included and `exclude` left out, has answered. */
-    getMajorityHeardAt(now: number, exclude?: string): number {
+    /** Returns the latest time since which a majority has answered, counting the leader but not `exclude`. */
+    getMajorityContactAt(now: number, exclude?: string): number {
         const counted = this.replicas.getVoters().filter(voter => voter !== exclude);
-        const times = counted.map(voter => voter === this.self ? now : this.peers.get(voter)?.heardAt ?? -Infinity);
+        const times = counted.map(voter =>
+            voter === this.self ? now : this.peers.get(voter)?.lastContactAt ?? -Infinity
+        );
         times.sort((a, b) => b - a);
         return times[this.replicas.getMajority() - 1] ?? -Infinity;
     }
 
-    /** The highest index that a majority holds, given what the leader itself has synced. */
-    getMajorityMatch(ownSynced: number): number {
+    /** Returns the highest index that a majority has synced, given the leader's own. */
+    getMajorityMatchIndex(ownSyncedIndex: number): number {
         const matched = this.replicas.getVoters().map(voter =>
-            voter === this.self ? ownSynced : this.peers.get(voter)?.matchIndex ?? 0
+            voter === this.self ? ownSyncedIndex : this.peers.get(voter)?.matchIndex ?? 0
         );
         matched.sort((a, b) => b - a);
         return matched[this.replicas.getMajority() - 1] ?? 0;
--- a/src/consensus/peerReplication.ts
+++ b/src/consensus/peerReplication.ts
@@ -1,4 +1,4 @@
-/** Copies the leader's log to one peer. This is the peer's one task, for as long as the replica leads in its term. */
+/** Replicates the leader's log to one peer until the leader's term ends or the peer is removed. */
 import type { Clock } from "../ports/clock.js";
 import type { PeerNetwork } from "../ports/peer.js";
 import type { LogStorage } from "./logStorage.js";
@@ -9,14 +9,10 @@
 import type { ReplicatedLogOptions } from "./replicatedLogOptions.js";
 
 const MAX_ENTRIES_PER_APPEND = 512;
-/**
- * Most characters that are sent at once: an eighth of the longest line that a replica takes, and some 50 ms of a link of
- * 170 Mbit/s. Without it a replica that had missed 20 bundles of 1,700 routes was sent them in a line longer than it takes.
- */
+/** In characters. Keeps messages well below the maximum line length that a replica accepts. */
 const MAX_MESSAGE_LENGTH = 1024 * 1024;
 
-export class PeerReplication {
-    /** The term in which it was begun; it ends with it. */
+export class PeerReplicator {
     private readonly term: number;
 
     constructor(
@@ -25,16 +21,16 @@
         private readonly network: PeerNetwork,
         private readonly clock: Clock,
         private readonly options: ReplicatedLogOptions,
-        private readonly other: ReplicaAddress,
+        private readonly peer: ReplicaAddress,
         private readonly progress: PeerProgress,
     ) {
         this.term = storage.term;
     }
 
-    /** Sends entries, snapshots where entries are gone, and heartbeats where there is nothing to send. */
+    /** Sends entries, a snapshot if the next entries were compacted, and heartbeats while idle. */
     async run(): Promise<void> {
         const { replica, storage, progress, options } = this;
-        while (this.isWanted()) {
+        while (this.isActive()) {
             try {
                 if (progress.nextIndex <= storage.getSnapshotIndex()) {
                     await this.sendSnapshot();
@@ -47,15 +43,15 @@
                 await this.clock.wait(options.heartbeatMs);
                 continue;
             }
-            if (replica.isLeadingIn(this.term) && progress.nextIndex > storage.getLastIndex()) {
-                await replica.waitWork(options.heartbeatMs);
+            if (replica.isLeaderInTerm(this.term) && progress.nextIndex > storage.getLastIndex()) {
+                await replica.waitForReplicationWork(options.heartbeatMs);
             }
         }
     }
 
-    private isWanted(): boolean {
-        return this.replica.isLeadingIn(this.term)
-            && this.replica.tryGetProgress(this.other.name) === this.progress;
+    private isActive(): boolean {
+        return this.replica.isLeaderInTerm(this.term)
+            && this.replica.tryGetPeerProgress(this.peer.name) === this.progress;
     }
 
     private async sendEntries(): Promise<void> {
@@ -70,15 +66,15 @@
             entries: storage.getEntriesFrom(progress.nextIndex, MAX_ENTRIES_PER_APPEND, MAX_MESSAGE_LENGTH),
             commitIndex: replica.getCommitIndex(),
         };
-        const answer = await this.network.call(this.other.address, appendMethod, params, options.electionTimeoutMs);
-        replica.recordAnswer(answer, progress, sentAt);
+        const answer = await this.network.call(this.peer.address, appendMethod, params, options.electionTimeoutMs);
+        replica.recordAppendAnswer(answer, progress, sentAt);
     }
 
     private async sendSnapshot(): Promise<void> {
         const snapshot = this.storage.snapshot!;
         const text = JSON.stringify(snapshot.state);
         for (let offset = 0; offset < text.length; offset += MAX_MESSAGE_LENGTH) {
-            const isTaken = await this.sendPiece({
+            const isAccepted = await this.sendChunk({
                 term: this.term,
                 leader: this.options.name,
                 lastIndex: snapshot.lastIndex,
@@ -88,27 +84,27 @@
                 done: offset + MAX_MESSAGE_LENGTH >= text.length,
                 replicas: snapshot.replicas === undefined ? undefined : [...snapshot.replicas],
             });
-            if (!isTaken) {
+            if (!isAccepted) {
                 return;
             }
         }
     }
 
-    private async sendPiece(params: SnapshotParams): Promise<boolean> {
+    private async sendChunk(params: SnapshotParams): Promise<boolean> {
         const sentAt = this.clock.getMonotonicMs();
         const answer = await this.network.call(
-            this.other.address,
+            this.peer.address,
             snapshotMethod,
             params,
             this.options.proposeTimeoutMs,
         );
         if (answer.success && params.done) {
-            this.replica.recordAnswer(answer, this.progress, sentAt);
+            this.replica.recordAppendAnswer(answer, this.progress, sentAt);
         }
         else {
-            this.replica.checkTerm(answer.term);
+            this.replica.observeTerm(answer.term);
             if (answer.isMember) {
-                this.progress.heardAt = sentAt;
+                this.progress.lastContactAt = sentAt;
             }
         }
         return answer.success;
--- a/src/consensus/replicaSet.ts
+++ b/src/consensus/replicaSet.ts
@@ -1,41 +1,40 @@
-/** Which replicas the log has: those that its newest entry names, or those of the settings where none names any. */
+/** Current replica set: as defined by the latest `setReplicas` entry, or by the settings if there is none. */
 import type { Replica } from "../domain/commands.js";
 import type { LogStorage } from "./logStorage.js";
 
-/** Another replica of the log. */
 export interface ReplicaAddress {
     readonly name: string;
     readonly address: string;
 }
 
-/** What the settings say of the replicas at the start. */
+/** Replica set at startup, from the settings. */
 export interface ReplicaSetOptions {
     readonly name: string;
-    /** The other replicas that a log begins with. */
+    /** The other members of the initial replica set. */
     readonly others: readonly ReplicaAddress[];
-    /** Where the others reach this replica. Set where the replicas may change while running. */
+    /** Address at which the others reach this replica. Set if the replica set may change at run time. */
     readonly address?: string | undefined;
-    /** False for a replica that a log does not begin with: it has to be added to one. Default true. */
+    /** False for a replica outside the initial replica set, which has to be added to it. Default: true. */
     readonly isFounder?: boolean | undefined;
 }
 
 export class ReplicaSet {
     constructor(private readonly storage: LogStorage, private readonly options: ReplicaSetOptions) {}
 
-    /** All replicas but this one, also those that do not vote. */
+    /** Returns all replicas except this one, including non-voting ones. */
     getOthers(): readonly ReplicaAddress[] {
-        return this.isNamedByLog()
+        return this.isDefinedByLog()
             ? this.storage.replicas.filter(replica => replica.name !== this.options.name)
             : this.options.others;
     }
 
-    /** Names of the replicas that count for a majority. */
+    /** Returns the names of the voting replicas. */
     getVoters(): readonly string[] {
-        if (this.isNamedByLog()) {
+        if (this.isDefinedByLog()) {
             return this.storage.replicas.filter(replica => replica.voting).map(replica => replica.name);
         }
-        const own = this.options.isFounder === false ? [] : [this.options.name];
-        return [...own, ...this.options.others.map(other => other.name)];
+        const self = this.options.isFounder === false ? [] : [this.options.name];
+        return [...self, ...this.options.others.map(other => other.name)];
     }
 
     isVoter(name: string): boolean {
@@ -46,21 +45,21 @@
         return name === this.options.name || this.getOthers().some(other => other.name === name);
     }
 
-    /** How many replicas a majority takes. */
+    /** Returns the number of voters that form a majority. */
     getMajority(): number {
         return Math.floor(this.getVoters().length / 2) + 1;
     }
 
-    /** The replicas that the first entry of a new log names; undefined where they are fixed or named already. */
-    tryGetFounding(): readonly Replica[] | undefined {
+    /** Returns the replicas for the first entry of a new log; undefined if the set is fixed or already in the log. */
+    tryGetInitialReplicas(): readonly Replica[] | undefined {
         const { name, address, others } = this.options;
-        if (address === undefined || this.isNamedByLog()) {
+        if (address === undefined || this.isDefinedByLog()) {
             return undefined;
         }
         return [{ name, address }, ...others].map(replica => ({ ...replica, voting: true }));
     }
 
-    private isNamedByLog(): boolean {
+    private isDefinedByLog(): boolean {
         return this.storage.replicas.length > 0;
     }
 }
--- a/src/consensus/replicaSetKeeper.ts
+++ b/src/consensus/replicaSetKeeper.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the replicas of a log in step with the controllers there are, one change at a time: a new controller is added
- * without a vote, votes once it holds what is committed, and one that stays silent is removed where enough others live.
+ * Reconciles the replica set with the running controllers, one change at a time. A new controller is added as a non-voter
+ * and promoted once it holds all committed entries. An unresponsive replica is removed if enough voters remain live.
  */
 import type { Replica } from "../domain/commands.js";
 import type { Clock } from "../ports/clock.js";
@@ -13,21 +13,19 @@
 
 /** Times in milliseconds. */
 export interface ReplicaSetKeeperOptions {
-    /** This replica. */
     readonly self: ReplicaAddress;
-    /** How often the leader looks over the replicas. */
+    /** Interval at which the leader reconciles the replica set, and at which a controller retries to join. */
     readonly periodMs: number;
-    /** A replica that has been silent for so long may be removed. */
+    /** Time without an answer after which a replica may be removed. */
     readonly removeAfterMs: number;
-    /** Voting replicas that must answer for a silent one to be removed: enough to lose what the deployment tolerates. */
+    /** Live voters required to remove a replica, so that the rest still tolerates the configured number of failures. */
     readonly minimumLive: number;
-    /** How long another controller may take to answer a request to join. */
     readonly callTimeoutMs: number;
 }
 
 export class ReplicaSetKeeper {
-    /** Controllers that asked this leader to be added, by name. */
-    private readonly joining = new Map<string, ReplicaAddress>();
+    /** Controllers to be added, by name. */
+    private readonly joinRequests = new Map<string, ReplicaAddress>();
 
     constructor(
         private readonly replica: ReplicatedLog,
@@ -41,27 +39,28 @@
         handlers.add(joinMethod, params => this.handleJoin(params));
     }
 
-    /** The leader's task: looks over the replicas until the replica stops. */
+    /** Reconciles the replica set periodically while this replica is the leader, until it stops. */
     async runKeeping(): Promise<void> {
         while (!this.replica.isStopped()) {
             await this.clock.wait(this.options.periodMs);
-            if (this.replica.isLeader() && this.replica.isReplicaSetSettled()) {
-                await this.changeOnce();
+            if (this.replica.isLeader() && this.replica.isReplicaSetCommitted()) {
+                await this.reconcileOnce();
             }
         }
     }
 
-    /** A controller's task: asks whoever it knows to be added, until the log names it. */
-    async runJoining(getKnown: () => readonly string[]): Promise<void> {
+    /** Requests to be added from known controllers whenever this one is not a voter, until the replica stops. */
+    async runJoining(getKnownAddresses: () => readonly string[]): Promise<void> {
         while (!this.replica.isStopped()) {
             if (!this.replica.replicas.getVoters().includes(this.options.self.name)) {
-                await this.askToJoin(getKnown());
+                await this.requestJoin(getKnownAddresses());
             }
             await this.clock.wait(this.options.periodMs);
         }
     }
 
-    private async askToJoin(addresses: readonly string[]): Promise<void> {
+    /** Sends a join request to each address in turn until one answers that this controller is a replica. */
+    private async requestJoin(addresses: readonly string[]): Promise<void> {
         for (const address of addresses.filter(address => address !== this.options.self.address)) {
             try {
                 const answer = await this.network.call(
@@ -82,14 +81,14 @@
 
     private async handleJoin(joiner: ReplicaAddress): Promise<{ isReplica: boolean; }> {
         if (this.replica.isLeader()) {
-            this.joining.set(joiner.name, joiner);
+            this.joinRequests.set(joiner.name, joiner);
             return { isReplica: this.replica.replicas.has(joiner.name) };
         }
         const leader = getLeaderAddress(this.replica);
         return this.network.call(leader.address, joinMethod, joiner, this.options.callTimeoutMs);
     }
 
-    private async changeOnce(): Promise<void> {
+    private async reconcileOnce(): Promise<void> {
         const next = this.tryAddOne() ?? this.tryPromoteOne() ?? this.tryRemoveOne();
         if (next === undefined) {
             return;
@@ -103,7 +102,7 @@
         }
     }
 
-    private getReplicas(): Replica[] {
+    private listReplicas(): Replica[] {
         const { replicas } = this.replica;
         return [this.options.self, ...replicas.getOthers()].map(({ name, address }) => ({
             name,
@@ -113,20 +112,20 @@
     }
 
     private tryAddOne(): Replica[] | undefined {
-        for (const [name, joiner] of this.joining) {
-            this.joining.delete(name);
+        for (const [name, joiner] of this.joinRequests) {
+            this.joinRequests.delete(name);
             if (!this.replica.replicas.has(name)) {
-                return [...this.getReplicas(), { ...joiner, voting: false }];
+                return [...this.listReplicas(), { ...joiner, voting: false }];
             }
         }
         return undefined;
     }
 
     private tryPromoteOne(): Replica[] | undefined {
-        const ready = this.getReplicas().find(replica => !replica.voting && this.isCaughtUp(replica.name));
+        const ready = this.listReplicas().find(replica => !replica.voting && this.isCaughtUp(replica.name));
         return ready === undefined
             ? undefined
-            : this.getReplicas().map(replica =>
+            : this.listReplicas().map(replica =>
                 replica === ready || replica.name === ready.name
                     ? { ...replica, voting: true }
                     : replica
@@ -134,28 +133,28 @@
     }
 
     private isCaughtUp(name: string): boolean {
-        const progress = this.replica.tryGetProgress(name);
+        const progress = this.replica.tryGetPeerProgress(name);
         return progress !== undefined && progress.isMember && progress.matchIndex >= this.replica.getCommitIndex()
-            && this.getSilentMs(name) < this.options.removeAfterMs;
+            && this.getMsSinceContact(name) < this.options.removeAfterMs;
     }
 
     private tryRemoveOne(): Replica[] | undefined {
-        const replicas = this.getReplicas();
-        const silent = replicas.find(replica => this.getSilentMs(replica.name) > this.options.removeAfterMs);
-        const live = replicas.filter(replica =>
-            replica.voting && this.getSilentMs(replica.name) < this.options.removeAfterMs / 2
+        const replicas = this.listReplicas();
+        const expired = replicas.find(replica => this.getMsSinceContact(replica.name) > this.options.removeAfterMs);
+        const liveVoters = replicas.filter(replica =>
+            replica.voting && this.getMsSinceContact(replica.name) < this.options.removeAfterMs / 2
         );
-        return silent === undefined || live.length < this.options.minimumLive
+        return expired === undefined || liveVoters.length < this.options.minimumLive
             ? undefined
-            : replicas.filter(replica => replica !== silent);
+            : replicas.filter(replica => replica !== expired);
     }
 
-    private getSilentMs(name: string): number {
+    private getMsSinceContact(name: string): number {
         if (name === this.options.self.name) {
             return 0;
         }
-        const progress = this.replica.tryGetProgress(name);
-        return progress === undefined ? 0 : this.clock.getMonotonicMs() - progress.heardAt;
+        const progress = this.replica.tryGetPeerProgress(name);
+        return progress === undefined ? 0 : this.clock.getMonotonicMs() - progress.lastContactAt;
     }
 }
 
--- a/src/consensus/replicatedLog.ts
+++ b/src/consensus/replicatedLog.ts
@@ -1,8 +1,8 @@
 /**
- * The replicated log of one controller: elects a leader, copies entries, applies what a majority has synced.
+ * One controller's replica of the log, after Raft: elects a leader, replicates entries, applies what a majority has synced.
  *
- * Tasks: one that watches for a silent leader, and while leading one for each peer. A leader that has not heard from a
- * majority for an election timeout steps down, so that a controller that was cut off stops believing it is in charge.
+ * Runs an election timer and, while leading, one replication task per peer. A leader that has not heard from a majority for
+ * an election timeout steps down, so that a partitioned controller does not go on acting as the leader.
  */
 import type { Command, LogEntry } from "../domain/commands.js";
 import type { DeclaredState, StateSnapshot } from "../domain/declaredState.js";
@@ -11,7 +11,7 @@
 import type { Log } from "../ports/log.js";
 import type { PeerHandlers, PeerNetwork } from "../ports/peer.js";
 import { EntryAges } from "./entryAges.js";
-import { runJoining } from "./joining.js";
+import { runJoinLoop } from "./joining.js";
 import { type AppliedHandler, LogApplier } from "./logApplier.js";
 import type { LogStorage } from "./logStorage.js";
 import {
@@ -30,26 +30,26 @@
     voteMethod,
     type VoteParams,
 } from "./messages.js";
-import { LeaderProgress, type PeerProgress } from "./peerProgress.js";
-import { PeerReplication } from "./peerReplication.js";
+import { type PeerProgress, PeerProgressTracker } from "./peerProgress.js";
+import { PeerReplicator } from "./peerReplication.js";
 import { PendingProposals } from "./pendingProposals.js";
 import { type ReplicaAddress, ReplicaSet } from "./replicaSet.js";
 import type { ReplicatedLogOptions } from "./replicatedLogOptions.js";
 import { Signal } from "./signal.js";
 import { SnapshotReceiver } from "./snapshotReceiver.js";
-import { collectVotes, computeCandidacyTimeoutMs, createVoteParams, hasVotedFor, isLogUpToDate } from "./voting.js";
+import { collectVotes, computeElectionTimeoutMs, createVoteParams, hasVotedFor, isLogUpToDate } from "./voting.js";
 
 export class ReplicatedLog {
     readonly state: DeclaredState;
     private role: "follower" | "candidate" | "leader" = "follower";
     private leader: string | undefined;
     private commitIndex = 0;
-    private heardFromLeaderAt = -Infinity;
+    private lastLeaderContactAt = -Infinity;
     readonly replicas: ReplicaSet;
     readonly entryAges: EntryAges;
-    private readonly progress: LeaderProgress;
+    private readonly peerProgress: PeerProgressTracker;
     private readonly proposals: PendingProposals;
-    private readonly work = new Signal();
+    private readonly replicationSignal = new Signal();
     private readonly applier: LogApplier;
     private readonly snapshotReceiver = new SnapshotReceiver();
     private stopped = false;
@@ -64,7 +64,7 @@
         this.proposals = new PendingProposals(options.proposeTimeoutMs, options.electionTimeoutMs);
         this.replicas = new ReplicaSet(storage, options);
         this.entryAges = new EntryAges(storage, this.replicas, network, log, () => this.isLeader());
-        this.progress = new LeaderProgress(options.name, this.replicas);
+        this.peerProgress = new PeerProgressTracker(options.name, this.replicas);
         this.applier = new LogApplier(storage, this.proposals, log, options.snapshotEvery);
         this.state = this.applier.state;
         if (storage.snapshot !== undefined) {
@@ -73,24 +73,24 @@
         }
     }
 
-    /** Registers the methods other replicas call. */
+    /** Registers the methods that other replicas call. */
     addHandlers(handlers: PeerHandlers): void {
         handlers.add(preVoteMethod, params => this.handlePreVote(params));
         handlers.add(voteMethod, params => this.handleVote(params));
         handlers.add(appendMethod, params => this.handleAppend(params));
         handlers.add(snapshotMethod, params => this.handleSnapshot(params));
-        handlers.add(proposeMethod, params => this.proposeAsLeader(params.command));
-        handlers.add(readIndexMethod, params => this.confirmAsLeader(params.exclude));
+        handlers.add(proposeMethod, params => this.appendProposal(params.command));
+        handlers.add(readIndexMethod, params => this.confirmLeadership(params.exclude));
         handlers.add(replicaStateMethod, () => this.getReplicaState());
         this.entryAges.addHandlers(handlers);
     }
 
-    /** Starts the task that watches for a silent leader, and on a new or emptied disk the one that joins. */
+    /** Starts the election timer, the clock monitor and, on a new or erased disk, the join loop. */
     start(): void {
-        void this.runElections();
-        void this.entryAges.runClockWatch(this.clock, () => this.stopped);
+        void this.runElectionTimer();
+        void this.entryAges.runClockMonitor(this.clock, () => this.stopped);
         if (!this.storage.isMember) {
-            void runJoining(this, this.storage, this.network, this.clock, this.log, this.options);
+            void runJoinLoop(this, this.storage, this.network, this.clock, this.log, this.options);
         }
     }
 
@@ -101,7 +101,7 @@
     async stop(): Promise<void> {
         this.stopped = true;
         this.stepDown(this.storage.term);
-        this.applier.applied.notifyAll();
+        this.applier.appliedSignal.notifyAll();
         await this.storage.close();
     }
 
@@ -109,7 +109,7 @@
         this.applier.onApplied(handler);
     }
 
-    /** Calls back when a snapshot from the leader has replaced the state. */
+    /** Registers a handler that is called when a snapshot from the leader has replaced the state. */
     onSnapshotLoaded(handler: () => void): void {
         this.applier.onSnapshotLoaded(handler);
     }
@@ -126,8 +126,7 @@
         return this.stopped;
     }
 
-    /** Whether this replica still leads in `term`. */
-    isLeadingIn(term: number): boolean {
+    isLeaderInTerm(term: number): boolean {
         return this.role === "leader" && this.storage.term === term && !this.stopped;
     }
 
@@ -135,24 +134,23 @@
         return this.commitIndex;
     }
 
-    /** Resolves when there is something to send to peers, or after `timeoutMs`. */
-    waitWork(timeoutMs: number): Promise<void> {
-        return this.work.wait(timeoutMs);
+    /** Resolves when there may be something to send to peers, or after `timeoutMs`. */
+    waitForReplicationWork(timeoutMs: number): Promise<void> {
+        return this.replicationSignal.wait(timeoutMs);
     }
 
-    /** The leader as another replica, where one is known and it is not this one. */
+    /** Returns the leader's address if a leader is known and it is another replica. */
     tryGetLeaderAddress(): ReplicaAddress | undefined {
         return this.replicas.getOthers().find(other => other.name === this.leader);
     }
 
-    /** What this leader knows of a peer. */
-    tryGetProgress(name: string): PeerProgress | undefined {
-        return this.progress.tryGet(name);
+    tryGetPeerProgress(name: string): PeerProgress | undefined {
+        return this.peerProgress.tryGet(name);
     }
 
-    /** Whether the newest change of the replicas is committed, so that another may follow. */
-    isReplicaSetSettled(): boolean {
-        return this.storage.findReplicasIndex() <= this.commitIndex
+    /** Returns whether the latest replica set change and an entry of this term are committed, so that another may follow. */
+    isReplicaSetCommitted(): boolean {
+        return this.storage.findReplicaSetIndex() <= this.commitIndex
             && this.storage.tryGetTerm(this.commitIndex) === this.storage.term;
     }
 
@@ -161,21 +159,21 @@
     }
 
     getAppliedIndex(): number {
-        return this.applier.getIndex();
+        return this.applier.getAppliedIndex();
     }
 
-    /** How many replicas a majority takes. */
+    /** Returns the number of voters that form a majority. */
     getMajority(): number {
         return this.replicas.getMajority();
     }
 
     /**
-     * Proposes a command and answers what it came to once a majority holds it. Refuses with noMajority where it was
-     * certainly not accepted, and with changeUnknown where it may have been.
+     * Proposes a command and returns its result once it is committed and applied. Refuses with `noMajority` if it was
+     * certainly not accepted, and with `changeUnknown` if it may have been.
      */
     async propose(command: Command): Promise<ProposeAnswer> {
         if (this.role === "leader") {
-            return this.proposeAsLeader(command);
+            return this.appendProposal(command);
         }
         const leader = this.tryGetLeaderAddress();
         if (leader === undefined || !this.isConnectedToMajority()) {
@@ -203,29 +201,29 @@
         }
     }
 
-    /** Waits until this replica has applied everything that was committed when the call began. Answers the index. */
+    /** Waits until this replica has applied all entries committed before the call. Returns the index. */
     async readThroughMajority(): Promise<number> {
         const leader = this.tryGetLeaderAddress();
         const confirmed = this.role === "leader" || leader === undefined
-            ? await this.confirmAsLeader()
+            ? await this.confirmLeadership()
             : await this.network.call(leader.address, readIndexMethod, {}, this.options.proposeTimeoutMs);
         await this.waitApplied(confirmed.index, this.options.proposeTimeoutMs);
         return confirmed.index;
     }
 
-    /** Waits until `index` is applied here. Refuses with noMajority after `timeoutMs`. */
+    /** Waits until this replica has applied `index`. Refuses with `noMajority` after `timeoutMs`. */
     async waitApplied(index: number, timeoutMs: number): Promise<void> {
         const deadline = this.clock.getMonotonicMs() + timeoutMs;
-        while (this.applier.getIndex() < index && !this.stopped) {
-            const left = deadline - this.clock.getMonotonicMs();
-            if (left <= 0) {
-                throw new RefusalError(createRefusal("noMajority", `index ${index} is not applied yet`));
+        while (this.applier.getAppliedIndex() < index && !this.stopped) {
+            const remainingMs = deadline - this.clock.getMonotonicMs();
+            if (remainingMs <= 0) {
+                throw new RefusalError(createRefusal("noMajority", `timeout before index ${index} was applied`));
             }
-            await this.applier.applied.wait(left);
+            await this.applier.appliedSignal.wait(remainingMs);
         }
     }
 
-    private async proposeAsLeader(command: Command): Promise<ProposeAnswer> {
+    private async appendProposal(command: Command): Promise<ProposeAnswer> {
         if (this.role !== "leader" || this.stopped) {
             throw new RefusalError(createRefusal("noMajority", "not the leader", "no", this.options.electionTimeoutMs));
         }
@@ -237,76 +235,76 @@
             error => this.log.error("log_append_failed", { error: String(error) }),
         );
         this.updateReplication(command);
-        this.work.notifyAll();
+        this.replicationSignal.notifyAll();
         return answer;
     }
 
-    /** Makes sure that this replica still leads, by an answer of a majority to something sent after the call began. */
-    private async confirmAsLeader(exclude?: string): Promise<{ index: number; term: number; }> {
-        const asked = this.clock.getMonotonicMs();
-        const deadline = asked + this.options.proposeTimeoutMs;
+    /** Confirms that this replica still leads: a majority must answer a message sent after the call began. */
+    private async confirmLeadership(exclude?: string): Promise<{ index: number; term: number; }> {
+        const startedAt = this.clock.getMonotonicMs();
+        const deadline = startedAt + this.options.proposeTimeoutMs;
         while (this.role === "leader" && !this.stopped) {
-            const ownTermCommitted = this.storage.tryGetTerm(this.commitIndex) === this.storage.term;
-            if (ownTermCommitted && this.getMajorityHeardAt(exclude) >= asked) {
+            const isOwnTermCommitted = this.storage.tryGetTerm(this.commitIndex) === this.storage.term;
+            if (isOwnTermCommitted && this.getMajorityContactAt(exclude) >= startedAt) {
                 return { index: this.commitIndex, term: this.storage.term };
             }
             if (this.clock.getMonotonicMs() > deadline) {
                 break;
             }
-            this.work.notifyAll();
-            await this.applier.applied.wait(this.options.heartbeatMs);
+            this.replicationSignal.notifyAll();
+            await this.applier.appliedSignal.wait(this.options.heartbeatMs);
         }
         throw new RefusalError(
-            createRefusal("noMajority", "no confirmed leader here", "no", this.options.electionTimeoutMs),
+            createRefusal("noMajority", "could not confirm leadership", "no", this.options.electionTimeoutMs),
         );
     }
 
     /**
-     * Whether a majority has answered this leader, or a leader has spoken to this follower, within an election timeout. What was
-     * heard before the box was suspended does not count: one that was for 10 s called itself connected when it woke.
+     * Returns whether a majority has answered this leader, or a leader has contacted this follower, within two election
+     * timeouts. Contact before a suspension of the box does not count, because the monotonic clock misses that time.
      */
     isConnectedToMajority(): boolean {
-        const heardAt = this.role === "leader" ? this.getMajorityHeardAt() : this.heardFromLeaderAt;
-        const leastHeardAt = this.clock.getMonotonicMs() - this.options.electionTimeoutMs * 2;
-        return this.leader !== undefined && heardAt > Math.max(leastHeardAt, this.storage.getMissedAt());
+        const lastContactAt = this.role === "leader" ? this.getMajorityContactAt() : this.lastLeaderContactAt;
+        const oldestContactAt = this.clock.getMonotonicMs() - this.options.electionTimeoutMs * 2;
+        return this.leader !== undefined && lastContactAt > Math.max(oldestContactAt, this.storage.getLastMissedAt());
     }
 
-    private getMajorityHeardAt(exclude?: string): number {
-        return this.progress.getMajorityHeardAt(this.clock.getMonotonicMs(), exclude);
+    private getMajorityContactAt(exclude?: string): number {
+        return this.peerProgress.getMajorityContactAt(this.clock.getMonotonicMs(), exclude);
     }
 
     // Elections
 
-    private async runElections(): Promise<void> {
+    private async runElectionTimer(): Promise<void> {
         while (!this.stopped) {
-            const timeout = computeCandidacyTimeoutMs(this.options, this.heardFromLeaderAt);
-            const since = this.clock.getMonotonicMs();
-            await this.clock.wait(timeout);
+            const timeoutMs = computeElectionTimeoutMs(this.options, this.lastLeaderContactAt);
+            const startedAt = this.clock.getMonotonicMs();
+            await this.clock.wait(timeoutMs);
             if (this.stopped) {
                 return;
             }
             if (this.role === "leader") {
-                this.checkStillLeading();
+                this.checkQuorum();
             }
-            else if (this.heardFromLeaderAt < since && this.mayLead()) {
-                await this.runCandidacy();
+            else if (this.lastLeaderContactAt < startedAt && this.isElectable()) {
+                await this.runElection();
             }
         }
     }
 
-    private mayLead(): boolean {
+    private isElectable(): boolean {
         return this.storage.isMember && this.replicas.isVoter(this.options.name);
     }
 
-    private checkStillLeading(): void {
-        const silent = this.clock.getMonotonicMs() - this.getMajorityHeardAt();
-        if (silent > this.options.electionTimeoutMs) {
-            this.log.warn("leader_steps_down", { term: this.storage.term, silent_ms: Math.round(silent) });
+    private checkQuorum(): void {
+        const silentMs = this.clock.getMonotonicMs() - this.getMajorityContactAt();
+        if (silentMs > this.options.electionTimeoutMs) {
+            this.log.warn("leader_steps_down", { term: this.storage.term, silent_ms: Math.round(silentMs) });
             this.stepDown(this.storage.term);
         }
     }
 
-    private async runCandidacy(): Promise<void> {
+    private async runElection(): Promise<void> {
         this.leader = undefined;
         const proposed = createVoteParams(this.storage, this.options.name, this.storage.term + 1);
         if (!await this.collectVotes(preVoteMethod, proposed)) {
@@ -322,7 +320,7 @@
             createVoteParams(this.storage, this.options.name, proposed.term),
         );
         if (won && this.role === "candidate" && this.storage.term === proposed.term && !this.stopped) {
-            this.startLeading();
+            this.becomeLeader();
         }
     }
 
@@ -333,15 +331,15 @@
             this.options.electionTimeoutMs,
             method,
             params,
-            term => this.checkTerm(term),
+            term => this.observeTerm(term),
         );
     }
 
-    /** Would this replica vote? Asked before a term is spent, so that one who comes back disturbs nobody. */
+    /** Answers whether this replica would grant a vote, so that a returning candidate does not raise the term in vain. */
     private handlePreVote(params: VoteParams): VoteAnswer {
-        const quiet = this.clock.getMonotonicMs() - this.heardFromLeaderAt >= this.options.electionTimeoutMs;
-        const leaderless = this.role !== "leader" && quiet;
-        const granted = params.term > this.storage.term && this.storage.isMember && leaderless
+        const isTimedOut = this.clock.getMonotonicMs() - this.lastLeaderContactAt >= this.options.electionTimeoutMs;
+        const isLeaderless = this.role !== "leader" && isTimedOut;
+        const granted = params.term > this.storage.term && this.storage.isMember && isLeaderless
             && isLogUpToDate(this.storage, params);
         return { term: this.storage.term, granted };
     }
@@ -364,16 +362,16 @@
         return { term: this.storage.term, granted: hasVotedFor(this.storage, params) };
     }
 
-    /** Who gives its vote waits for what comes of it: from then on, not from when the vote is synced. */
+    /** Restarts the election timeout when granting a vote, before the vote is synced. */
     private saveVote(term: number, candidate: string | undefined): Promise<void> {
         if (candidate !== undefined) {
-            this.heardFromLeaderAt = this.clock.getMonotonicMs();
+            this.lastLeaderContactAt = this.clock.getMonotonicMs();
         }
         return this.storage.saveTerm(term, candidate);
     }
 
-    /** Steps down where a higher term has been seen. */
-    checkTerm(term: number): void {
+    /** Steps down if `term` is higher than the current one. */
+    observeTerm(term: number): void {
         if (term > this.storage.term) {
             this.stepDown(term);
         }
@@ -388,54 +386,54 @@
                 this.log.error("term_not_saved", { error: String(error) })
             );
         }
-        this.work.notifyAll();
+        this.replicationSignal.notifyAll();
     }
 
     // Leading
 
-    private startLeading(): void {
+    private becomeLeader(): void {
         this.role = "leader";
         this.leader = this.options.name;
         this.log.info("leader_elected", { term: this.storage.term, last_index: this.storage.getLastIndex() });
-        this.replicas.getOthers().forEach(other => this.startReplication(other));
-        // An entry of the new term commits whatever the earlier terms left.
-        const founding = this.replicas.tryGetFounding();
-        this.proposeAsLeader(
-            founding === undefined ? { type: "noop" } : { type: "setReplicas", replicas: [...founding] },
+        this.replicas.getOthers().forEach(peer => this.startReplication(peer));
+        // Entries of earlier terms are committed only through an entry of the new term.
+        const initialReplicas = this.replicas.tryGetInitialReplicas();
+        this.appendProposal(
+            initialReplicas === undefined ? { type: "noop" } : { type: "setReplicas", replicas: [...initialReplicas] },
         )
             .catch(error => this.log.warn("term_not_opened", { error: String(error) }));
     }
 
-    private startReplication(other: ReplicaAddress): void {
+    private startReplication(peer: ReplicaAddress): void {
         const now = this.clock.getMonotonicMs();
-        const progress = this.progress.reset(other.name, this.storage.getLastIndex() + 1, now);
-        void new PeerReplication(this, this.storage, this.network, this.clock, this.options, other, progress).run();
+        const progress = this.peerProgress.reset(peer.name, this.storage.getLastIndex() + 1, now);
+        void new PeerReplicator(this, this.storage, this.network, this.clock, this.options, peer, progress).run();
     }
 
-    /** Begins to copy to replicas that have just been added, and forgets those that have been removed. */
+    /** Starts replication to added replicas and stops it to removed ones. */
     private updateReplication(command: Command): void {
         if (command.type !== "setReplicas") {
             return;
         }
-        const others = this.replicas.getOthers();
-        others.filter(other => this.progress.tryGet(other.name) === undefined).forEach(other =>
-            this.startReplication(other)
+        const peers = this.replicas.getOthers();
+        peers.filter(peer => this.peerProgress.tryGet(peer.name) === undefined).forEach(peer =>
+            this.startReplication(peer)
         );
-        this.progress.getNames().filter(name => !others.some(other => other.name === name)).forEach(name =>
-            this.progress.remove(name)
+        this.peerProgress.getNames().filter(name => !peers.some(peer => peer.name === name)).forEach(name =>
+            this.peerProgress.remove(name)
         );
     }
 
-    /** Takes a peer's answer into account. `sentAt`: when what it answers was sent. */
-    recordAnswer(answer: AppendAnswer, progress: PeerProgress, sentAt: number): void {
+    /** @param sentAt When the answered message was sent. */
+    recordAppendAnswer(answer: AppendAnswer, progress: PeerProgress, sentAt: number): void {
         if (answer.term > this.storage.term) {
             this.stepDown(answer.term);
             return;
         }
         progress.isMember = answer.isMember;
         if (answer.isMember) {
-            // A replica that lost its disk may have voted for another leader and not know it: its word does not count.
-            progress.heardAt = Math.max(progress.heardAt, sentAt);
+            // A replica that lost its disk may have forgotten a vote for another leader, so its answers don't count.
+            progress.lastContactAt = Math.max(progress.lastContactAt, sentAt);
         }
         if (answer.success) {
             progress.matchIndex = Math.max(progress.matchIndex, answer.index);
@@ -444,22 +442,22 @@
         }
         else {
             progress.nextIndex = Math.max(1, answer.index === progress.nextIndex ? answer.index - 1 : answer.index);
-            // A peer that has less than it once had has lost its disk.
+            // A peer whose log has become shorter has lost its disk.
             progress.matchIndex = Math.min(progress.matchIndex, progress.nextIndex - 1);
         }
-        this.applier.applied.notifyAll();
+        this.applier.appliedSignal.notifyAll();
     }
 
     private advanceCommit(): void {
         if (this.role !== "leader") {
             return;
         }
-        const candidate = this.progress.getMajorityMatch(this.storage.syncedIndex);
-        // Only an entry of the leader's own term commits by count (Raft, section 5.4.2).
+        const candidate = this.peerProgress.getMajorityMatchIndex(this.storage.syncedIndex);
+        // Only entries of the leader's own term are committed by counting replicas (Raft, section 5.4.2).
         if (candidate > this.commitIndex && this.storage.tryGetTerm(candidate) === this.storage.term) {
             this.commitIndex = candidate;
             this.applier.applyUpTo(this.commitIndex);
-            this.work.notifyAll();
+            this.replicationSignal.notifyAll();
         }
     }
 
@@ -473,20 +471,20 @@
         if (params.term !== this.storage.term) {
             return this.createAppendAnswer(false, 0);
         }
-        const mismatch = this.storage.tryGetMismatch(params.previousIndex, params.previousTerm);
-        if (mismatch !== undefined) {
-            return this.createAppendAnswer(false, mismatch);
+        const conflictIndex = this.storage.tryFindConflictIndex(params.previousIndex, params.previousTerm);
+        if (conflictIndex !== undefined) {
+            return this.createAppendAnswer(false, conflictIndex);
         }
-        const news = this.storage.getNewEntries(params.entries);
-        await this.storage.append(news);
-        // A resent append may find its entries here already and not synced yet.
+        const newEntries = this.storage.getNewEntries(params.entries);
+        await this.storage.append(newEntries);
+        // Entries of a resent append may already be in the log but not synced yet.
         await this.storage.waitSynced();
         if (params.term !== this.storage.term) {
             return this.createAppendAnswer(false, 0);
         }
-        const matched = params.previousIndex + params.entries.length;
-        this.advanceFollowerCommit(Math.min(params.commitIndex, matched));
-        return this.createAppendAnswer(true, matched);
+        const matchIndex = params.previousIndex + params.entries.length;
+        this.advanceFollowerCommit(Math.min(params.commitIndex, matchIndex));
+        return this.createAppendAnswer(true, matchIndex);
     }
 
     private createAppendAnswer(success: boolean, index: number): AppendAnswer {
@@ -494,8 +492,8 @@
     }
 
     private async followLeader(term: number, leader: string): Promise<void> {
-        assertInvariant(this.role !== "leader" || term > this.storage.term, "two leaders in one term");
-        this.heardFromLeaderAt = this.clock.getMonotonicMs();
+        assertInvariant(this.role !== "leader" || term > this.storage.term, "a term must have at most one leader");
+        this.lastLeaderContactAt = this.clock.getMonotonicMs();
         if (this.role === "leader") {
             this.proposals.failAll();
         }
@@ -521,8 +519,8 @@
             return this.createAppendAnswer(false, 0);
         }
         await this.followLeader(params.term, params.leader);
-        const text = this.snapshotReceiver.tryAdd(params);
-        if (text !== undefined && params.lastIndex > this.applier.getIndex()) {
+        const text = this.snapshotReceiver.tryAddChunk(params);
+        if (text !== undefined && params.lastIndex > this.applier.getAppliedIndex()) {
             const state = JSON.parse(text) as StateSnapshot;
             await this.storage.saveSnapshot({
                 lastIndex: params.lastIndex,
@@ -533,7 +531,7 @@
             this.commitIndex = Math.max(this.commitIndex, params.lastIndex);
             this.applier.loadState(state, params.lastIndex);
         }
-        const success = text !== undefined || this.snapshotReceiver.isExpecting(params);
+        const success = text !== undefined || this.snapshotReceiver.hasAccepted(params);
         return this.createAppendAnswer(success, params.lastIndex);
     }
 }
--- a/src/consensus/snapshotReceiver.ts
+++ b/src/consensus/snapshotReceiver.ts
@@ -1,27 +1,27 @@
-/** Puts a snapshot together from its pieces. */
+/** Assembles a snapshot from its chunks. */
 import type { SnapshotParams } from "./messages.js";
 
 export class SnapshotReceiver {
-    private key = "";
+    private snapshotKey = "";
     private text = "";
 
-    /** Takes a piece; answers the whole text with the last one. A piece out of order is dropped. */
-    tryAdd(params: SnapshotParams): string | undefined {
+    /** Adds a chunk and returns the complete text after the last one. Drops a chunk that is out of order. */
+    tryAddChunk(params: SnapshotParams): string | undefined {
         const key = `${params.term}/${params.lastIndex}`;
         if (params.offset === 0) {
-            this.key = key;
+            this.snapshotKey = key;
             this.text = "";
         }
-        if (key !== this.key || params.offset !== this.text.length) {
+        if (key !== this.snapshotKey || params.offset !== this.text.length) {
             return undefined;
         }
         this.text += params.piece;
         return params.done ? this.text : undefined;
     }
 
-    /** Whether the piece just given was the one that came next. */
-    isExpecting(params: SnapshotParams): boolean {
-        return this.key === `${params.term}/${params.lastIndex}`
+    /** Returns whether the chunk passed to the last `tryAddChunk` call was in order. */
+    hasAccepted(params: SnapshotParams): boolean {
+        return this.snapshotKey === `${params.term}/${params.lastIndex}`
             && this.text.length === params.offset + params.piece.length;
     }
 }
--- a/src/consensus/voting.ts
+++ b/src/consensus/voting.ts
@@ -1,4 +1,4 @@
-/** The asking for votes, and what a replica's own log says to a candidate. */
+/** Vote requests, and the checks a replica makes before it grants a vote. */
 import type { PeerMethod, PeerNetwork } from "../ports/peer.js";
 import type { LogStorage } from "./logStorage.js";
 import type { VoteAnswer, VoteParams } from "./messages.js";
@@ -6,50 +6,48 @@
 import type { ReplicatedLogOptions } from "./replicatedLogOptions.js";
 
 /**
- * Part of the election timeout that a replica waits which has heard of no leader since its start: probably there is none,
- * and asking for votes disturbs nobody.
+ * Fraction of the election timeout used until a replica has had contact with a leader: there is probably none, and pre-vote
+ * keeps early requests from disrupting one.
  */
-const UNHEARD_TIMEOUT_PART = 0.3;
+const INITIAL_TIMEOUT_FRACTION = 0.3;
 
-/** What a candidate says of itself. */
 export function createVoteParams(storage: LogStorage, candidate: string, term: number): VoteParams {
     const lastIndex = storage.getLastIndex();
     return { term, candidate, lastIndex, lastTerm: storage.tryGetTerm(lastIndex) ?? 0 };
 }
 
-/** How long a replica waits for a leader before it asks for votes, in milliseconds. `heardAt`: when it heard of one last. */
-export function computeCandidacyTimeoutMs(options: ReplicatedLogOptions, heardAt: number): number {
-    const part = heardAt === -Infinity ? UNHEARD_TIMEOUT_PART : 1;
-    return options.electionTimeoutMs * part * (1 + options.random());
+/** Computes a randomized timeout without leader contact after which a replica requests votes, in milliseconds. */
+export function computeElectionTimeoutMs(options: ReplicatedLogOptions, lastLeaderContactAt: number): number {
+    const fraction = lastLeaderContactAt === -Infinity ? INITIAL_TIMEOUT_FRACTION : 1;
+    return options.electionTimeoutMs * fraction * (1 + options.random());
 }
 
-/** Whether this replica has given its vote to the candidate. */
 export function hasVotedFor(storage: LogStorage, { term, candidate }: VoteParams): boolean {
     return storage.term === term && storage.votedFor === candidate;
 }
 
-/** Whether a candidate's log holds at least as much as this one (Raft, section 5.4.1). */
+/** Returns whether a candidate's log is at least as up to date as this replica's (Raft, section 5.4.1). */
 export function isLogUpToDate(storage: LogStorage, params: VoteParams): boolean {
     const lastIndex = storage.getLastIndex();
     const lastTerm = storage.tryGetTerm(lastIndex) ?? 0;
     return params.lastTerm > lastTerm || (params.lastTerm === lastTerm && params.lastIndex >= lastIndex);
 }
 
-/** Asks everyone; answers whether a majority agreed, as soon as that is known. */
+/** Requests votes from all voters and resolves to whether a majority granted them, as soon as that is decided. */
 export function collectVotes(
     network: PeerNetwork,
     replicas: ReplicaSet,
     timeoutMs: number,
     method: PeerMethod<VoteParams, VoteAnswer>,
     params: VoteParams,
-    checkTerm: (term: number) => void,
+    observeTerm: (term: number) => void,
 ): Promise<boolean> {
     return new Promise(resolve => {
         let granted = 1;
-        const voters = replicas.getOthers().filter(other => replicas.isVoter(other.name));
+        const peers = replicas.getOthers().filter(other => replicas.isVoter(other.name));
         const majority = replicas.getMajority();
-        let outstanding = voters.length;
-        const checkDone = (): void => {
+        let outstanding = peers.length;
+        const resolveIfDecided = (): void => {
             if (granted >= majority) {
                 resolve(true);
             }
@@ -57,18 +55,18 @@
                 resolve(false);
             }
         };
-        for (const other of voters) {
-            network.call(other.address, method, params, timeoutMs).then(
+        for (const peer of peers) {
+            network.call(peer.address, method, params, timeoutMs).then(
                 answer => {
-                    checkTerm(answer.term);
+                    observeTerm(answer.term);
                     granted += answer.granted ? 1 : 0;
                 },
                 () => undefined,
             ).finally(() => {
                 outstanding -= 1;
-                checkDone();
+                resolveIfDecided();
             });
         }
-        checkDone();
+        resolveIfDecided();
     });
 }
