--- a/test/consensus/entryAges.test.ts
+++ b/test/consensus/entryAges.test.ts
@@ -1,7 +1,6 @@
 /**
- * How long ago an entry was taken is never measured too short by a leader whose box was suspended: its monotonic clock has
- * missed that time. What a router's process before can have spent since is bounded by it, so too short would give spent
- * tokens back.
+ * Guards against a leader measuring the age of an entry too short because its box was suspended: the age bounds what a
+ * router's previous process can have spent, so tokens already spent would be released.
  */
 import t from "tap";
 import { EntryAges } from "../../src/consensus/entryAges.js";
@@ -15,19 +14,19 @@
 const NAMES = ["a", "b", "c"];
 const SUSPENDED_MS = 4_000;
 
-/** Three replicas that have taken one entry; the first one leads. */
+/** Creates three replicas that have appended one entry; the first one is the leader. */
 async function createReplicas() {
     const processes: MemoryProcesses = new Map();
-    const faults = { loss: 0, doubles: 0, cutOff: new Set<string>() };
+    const faults = { lossRate: 0, duplicateRate: 0, partitioned: new Set<string>() };
     const replicas = await Promise.all(NAMES.map(async name => {
         const clock = new FakeClock();
         const storage = new LogStorage({ journal: new FakeJournal(true), records: [], tornBytes: 0 }, clock);
         await storage.saveTerm(1, undefined);
         await storage.append([{ index: 1, term: 1, at: 0, command: { type: "noop" } }]);
         const others = NAMES.filter(other => other !== name).map(other => ({ name: other, address: other }));
-        const set = new ReplicaSet(storage, { name, others });
+        const replicaSet = new ReplicaSet(storage, { name, others });
         const network = new MemoryNetwork(name, processes, faults, () => 0.5);
-        const ages = new EntryAges(storage, set, network, new NoLog(), () => name === "a");
+        const ages = new EntryAges(storage, replicaSet, network, new NoLog(), () => name === "a");
         const handlers = new PeerHandlers();
         ages.addHandlers(handlers);
         processes.set(name, handlers);
@@ -37,15 +36,15 @@
     return { replicas, faults };
 }
 
-void t.test("a leader measures time that its box was suspended for", async t => {
+void t.test("the age measured by a leader includes the time its box was suspended", async t => {
     const { replicas: [leader], faults } = await createReplicas();
-    faults.cutOff.add("b").add("c");
+    faults.partitioned.add("b").add("c");
     leader!.clock.suspend(SUSPENDED_MS);
     const { measuredMs } = await leader!.ages.gather(1);
     t.ok(measuredMs! >= 1_000 + SUSPENDED_MS, `${measuredMs} ms`);
 });
 
-void t.test("also where its time of day was set back meanwhile, by what the other replicas measured", async t => {
+void t.test("a suspension hidden by a wall clock step is covered by the ages other replicas measured", async t => {
     const { replicas: [leader, ...others] } = await createReplicas();
     leader!.clock.suspend(SUSPENDED_MS);
     leader!.clock.stepWall(-SUSPENDED_MS);
--- a/test/consensus/replicaSet.test.ts
+++ b/test/consensus/replicaSet.test.ts
@@ -1,6 +1,6 @@
 /**
- * A log whose replicas change while it runs: founders, replicas that join, boxes that are gone for good, emptied disks,
- * cuts and lost messages. What was accepted stays accepted, and the set comes to hold whoever lives.
+ * Guards against losing accepted entries while the replica set changes: replicas join, are removed, lose their disks or are
+ * partitioned, and messages are lost. The set must converge to the live replicas.
  */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import t from "tap";
@@ -14,16 +14,16 @@
 import { MemoryNetwork, type MemoryProcesses, type NetworkFaults } from "../tools/memoryNetwork.js";
 import { wait, waitUntil } from "../tools/waiting.js";
 
-const FOUNDERS = ["a:1", "b:1", "c:1"];
-const JOINERS = ["d:1", "e:1"];
+const INITIAL_REPLICAS = ["a:1", "b:1", "c:1"];
+const JOINING_REPLICAS = ["d:1", "e:1"];
 const REMOVE_AFTER_MS = 600;
-const TOLERATED = 1;
+const TOLERATED_FAILURES = 1;
 
-class ChangingWorld {
+class ReplicaSetSimulation {
     readonly processes: MemoryProcesses = new Map();
-    readonly faults: NetworkFaults = { loss: 0, doubles: 0, cutOff: new Set() };
+    readonly faults: NetworkFaults = { lossRate: 0, duplicateRate: 0, partitioned: new Set() };
     readonly replicas = new Map<string, ReplicatedLog>();
-    private readonly disks = new Map<string, FakeJournal>();
+    private readonly journals = new Map<string, FakeJournal>();
     readonly random: () => number;
 
     constructor(seed: number) {
@@ -32,14 +32,14 @@
     }
 
     start(name: string, isFirstStart: boolean): void {
-        const disk = this.disks.get(name) ?? new FakeJournal(true);
-        this.disks.set(name, disk);
+        const journal = this.journals.get(name) ?? new FakeJournal(true);
+        this.journals.set(name, journal);
         const handlers = new PeerHandlers();
         const network = new MemoryNetwork(name, this.processes, this.faults, this.random);
         const clock = new SystemClock();
-        const isFounder = isFirstStart && FOUNDERS.includes(name);
+        const isFounder = isFirstStart && INITIAL_REPLICAS.includes(name);
         const replica = new ReplicatedLog(
-            new LogStorage({ journal: disk, records: disk.crash(), tornBytes: 0 }),
+            new LogStorage({ journal, records: journal.crash(), tornBytes: 0 }),
             network,
             clock,
             new NoLog(),
@@ -47,7 +47,7 @@
                 name,
                 address: name,
                 others: isFounder
-                    ? FOUNDERS.filter(other => other !== name).map(other => ({ name: other, address: other }))
+                    ? INITIAL_REPLICAS.filter(other => other !== name).map(other => ({ name: other, address: other }))
                     : [],
                 isFounder,
                 isFirstStart: isFounder,
@@ -62,7 +62,7 @@
             self: { name, address: name },
             periodMs: 25,
             removeAfterMs: REMOVE_AFTER_MS,
-            minimumLive: 2 * TOLERATED + 1,
+            minimumLive: 2 * TOLERATED_FAILURES + 1,
             callTimeoutMs: 60,
         });
         replica.addHandlers(handlers);
@@ -71,7 +71,7 @@
         this.replicas.set(name, replica);
         replica.start();
         void keeper.runKeeping();
-        void keeper.runJoining(() => FOUNDERS);
+        void keeper.runJoining(() => INITIAL_REPLICAS);
     }
 
     async crash(name: string): Promise<void> {
@@ -80,31 +80,31 @@
         this.replicas.delete(name);
     }
 
-    emptyDisk(name: string): void {
-        this.disks.delete(name);
+    eraseDisk(name: string): void {
+        this.journals.delete(name);
     }
 
-    pick(): string {
+    pickReplica(): string {
         const names = [...this.replicas.keys()];
         return names[Math.floor(this.random() * names.length)]!;
     }
 
-    /** Voters as the replicas that live see them; undefined where they differ. */
+    /** Returns the voters if all live replicas agree on them. */
     tryGetVoters(): string[] | undefined {
-        const seen = [...this.replicas.values()].map(replica => [...replica.replicas.getVoters()].sort().join());
-        return new Set(seen).size === 1 ? seen[0]!.split(",") : undefined;
+        const voterSets = [...this.replicas.values()].map(replica => [...replica.replicas.getVoters()].sort().join());
+        return new Set(voterSets).size === 1 ? voterSets[0]!.split(",") : undefined;
     }
 }
 
-/** Proposes bundles of rising revision until stopped; answers the highest that was accepted. */
-function startProposing(world: ChangingWorld): { accepted: number; stop: () => Promise<void>; } {
+/** Proposes bundles of increasing revision until stopped, and records the highest one accepted. */
+function startProposing(simulation: ReplicaSetSimulation): { accepted: number; stop: () => Promise<void>; } {
     const state = { accepted: 0, stopped: false, stop: async (): Promise<void> => undefined };
     let revision = 0;
     const task = (async () => {
         while (!state.stopped) {
             revision += 1;
             const current = revision;
-            const replica = world.replicas.get(world.pick());
+            const replica = simulation.replicas.get(simulation.pickReplica());
             await replica?.propose({ type: "putBundle", revision: current, text: `bundle ${current}`, prepaid: [] })
                 .then(() => state.accepted = Math.max(state.accepted, current), () => undefined);
             await wait(4);
@@ -117,54 +117,62 @@
     return state;
 }
 
-async function waitForMore(proposing: { accepted: number; }, what: string): Promise<void> {
+async function waitForMoreAccepted(proposing: { accepted: number; }, condition: string): Promise<void> {
     const before = proposing.accepted;
-    await waitUntil(`acceptances ${what}`, () => proposing.accepted > before + 5);
+    await waitUntil(`proposals to be accepted ${condition}`, () => proposing.accepted > before + 5);
 }
 
 for (const seed of [11, 12, 13, 14]) {
-    void t.test(`a changing set keeps what was accepted (seed ${seed})`, async t => {
-        const world = new ChangingWorld(seed);
-        FOUNDERS.forEach(name => world.start(name, true));
-        const proposing = startProposing(world);
-        await waitForMore(proposing, "by the founders");
-        world.faults.loss = 0.05;
-        world.faults.doubles = 0.05;
-        JOINERS.forEach(name => world.start(name, false));
-        await waitUntil("five voters", () => world.tryGetVoters()?.length === 5);
-        await waitForMore(proposing, "by five");
+    void t.test(`accepted entries survive replica set changes (seed ${seed})`, async t => {
+        const simulation = new ReplicaSetSimulation(seed);
+        INITIAL_REPLICAS.forEach(name => simulation.start(name, true));
+        const proposing = startProposing(simulation);
+        await waitForMoreAccepted(proposing, "by the initial replicas");
+        simulation.faults.lossRate = 0.05;
+        simulation.faults.duplicateRate = 0.05;
+        JOINING_REPLICAS.forEach(name => simulation.start(name, false));
+        await waitUntil("five voters", () => simulation.tryGetVoters()?.length === 5);
+        await waitForMoreAccepted(proposing, "by five replicas");
 
-        const emptied = FOUNDERS[Math.floor(world.random() * FOUNDERS.length)]!;
-        await world.crash(emptied);
-        world.emptyDisk(emptied);
-        world.start(emptied, false);
-        await waitForMore(proposing, "beside an emptied disk");
+        const erased = INITIAL_REPLICAS[Math.floor(simulation.random() * INITIAL_REPLICAS.length)]!;
+        await simulation.crash(erased);
+        simulation.eraseDisk(erased);
+        simulation.start(erased, false);
+        await waitForMoreAccepted(proposing, "while a replica recovers from the loss of its disk");
 
-        const gone = FOUNDERS.find(name => name !== emptied)!;
-        await world.crash(gone);
-        await waitUntil("the one that is gone to be removed", () => world.tryGetVoters()?.includes(gone) === false);
-        await waitForMore(proposing, "by four");
+        const removed = INITIAL_REPLICAS.find(name => name !== erased)!;
+        await simulation.crash(removed);
+        await waitUntil(
+            "the stopped replica to be removed",
+            () => simulation.tryGetVoters()?.includes(removed) === false,
+        );
+        await waitForMoreAccepted(proposing, "by four replicas");
 
-        const cut = world.pick();
-        world.faults.cutOff.add(cut);
+        const isolated = simulation.pickReplica();
+        simulation.faults.partitioned.add(isolated);
         await wait(150);
-        world.faults.cutOff.clear();
-        await waitForMore(proposing, "after a cut");
+        simulation.faults.partitioned.clear();
+        await waitForMoreAccepted(proposing, "after a partition");
 
-        await Promise.all([...world.replicas.keys()].map(name => world.crash(name)));
-        [...FOUNDERS, ...JOINERS].filter(name => name !== gone).forEach(name => world.start(name, false));
-        await waitForMore(proposing, "after all were killed");
+        await Promise.all([...simulation.replicas.keys()].map(name => simulation.crash(name)));
+        [...INITIAL_REPLICAS, ...JOINING_REPLICAS].filter(name => name !== removed).forEach(name =>
+            simulation.start(name, false)
+        );
+        await waitForMoreAccepted(proposing, "after a crash of all replicas");
         await proposing.stop();
-        world.faults.loss = 0;
-        world.faults.doubles = 0;
+        simulation.faults.lossRate = 0;
+        simulation.faults.duplicateRate = 0;
         await waitUntil(
-            "all to hold the newest",
+            "all replicas to apply the latest accepted revision",
             () =>
-                [...world.replicas.values()].every(replica =>
+                [...simulation.replicas.values()].every(replica =>
                     (replica.state.bundle.tryGet()?.revision ?? 0) >= proposing.accepted
                 ),
         );
-        t.same(world.tryGetVoters(), [...FOUNDERS, ...JOINERS].filter(name => name !== gone).sort());
-        await Promise.all([...world.replicas.keys()].map(name => world.crash(name)));
+        t.same(
+            simulation.tryGetVoters(),
+            [...INITIAL_REPLICAS, ...JOINING_REPLICAS].filter(name => name !== removed).sort(),
+        );
+        await Promise.all([...simulation.replicas.keys()].map(name => simulation.crash(name)));
     });
 }
--- a/test/consensus/replicatedLog.test.ts
+++ b/test/consensus/replicatedLog.test.ts
@@ -1,6 +1,6 @@
 /**
- * The replicated log under lost, doubled and late messages, crashes that lose what was not synced, cuts, and an emptied
- * disk: what was accepted stays accepted, every replica comes to the same state, also through snapshots.
+ * Guards against losing accepted entries and against diverging replicas under message loss, duplication and delay, crashes
+ * that lose unsynced data, partitions, and the loss of a disk.
  */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import t from "tap";
@@ -19,8 +19,8 @@
 const NAMES = ["a", "b", "c"];
 const SNAPSHOT_EVERY = 15;
 
-/** Syncs a little after each write, so that a crash in between loses something. */
-class SlowJournal extends Journal {
+/** Syncs with a delay after each write, so that a crash in between loses data. */
+class DelayedSyncJournal extends Journal {
     constructor(private readonly inner: FakeJournal) {
         super();
     }
@@ -40,11 +40,11 @@
     }
 }
 
-class World {
+class ReplicatedLogSimulation {
     readonly processes: MemoryProcesses = new Map();
-    readonly faults: NetworkFaults = { loss: 0, doubles: 0, cutOff: new Set() };
+    readonly faults: NetworkFaults = { lossRate: 0, duplicateRate: 0, partitioned: new Set() };
     readonly replicas = new Map<string, ReplicatedLog>();
-    private readonly disks = new Map<string, FakeJournal>();
+    private readonly journals = new Map<string, FakeJournal>();
     readonly random: () => number;
 
     constructor(seed: number) {
@@ -53,9 +53,13 @@
     }
 
     start(name: string, clock: Clock = new SystemClock()): void {
-        const disk = this.disks.get(name) ?? new FakeJournal(false);
-        this.disks.set(name, disk);
-        const storage = new LogStorage({ journal: new SlowJournal(disk), records: disk.crash(), tornBytes: 0 }, clock);
+        const journal = this.journals.get(name) ?? new FakeJournal(false);
+        this.journals.set(name, journal);
+        const storage = new LogStorage({
+            journal: new DelayedSyncJournal(journal),
+            records: journal.crash(),
+            tornBytes: 0,
+        }, clock);
         const handlers = new PeerHandlers();
         const network = new MemoryNetwork(name, this.processes, this.faults, this.random);
         const replica = new ReplicatedLog(storage, network, clock, new NoLog(), {
@@ -79,23 +83,25 @@
         this.replicas.delete(name);
     }
 
-    emptyDisk(name: string): void {
-        this.disks.set(name, new FakeJournal(false));
+    eraseDisk(name: string): void {
+        this.journals.set(name, new FakeJournal(false));
     }
 
     async stopAll(): Promise<void> {
         await Promise.all([...this.replicas.keys()].map(name => this.crash(name)));
     }
 
-    pick(): string {
+    pickReplica(): string {
         const names = [...this.replicas.keys()];
         return names[Math.floor(this.random() * names.length)]!;
     }
 }
 
-async function runWorld(seed: number): Promise<{ accepted: Map<string, number>; world: World; snapshots: boolean; }> {
-    const world = new World(seed);
-    NAMES.forEach(name => world.start(name));
+async function runSimulation(
+    seed: number,
+): Promise<{ accepted: Map<string, number>; simulation: ReplicatedLogSimulation; hasSnapshots: boolean; }> {
+    const simulation = new ReplicatedLogSimulation(seed);
+    NAMES.forEach(name => simulation.start(name));
     const accepted = new Map<string, number>();
     let stopped = false;
     let serial = 0;
@@ -103,7 +109,7 @@
         while (!stopped) {
             serial += 1;
             const operationId = `op-${serial}`;
-            const replica = world.replicas.get(world.pick());
+            const replica = simulation.replicas.get(simulation.pickReplica());
             await replica?.propose({
                 type: "creditTopUp",
                 operationId,
@@ -120,62 +126,62 @@
             await wait(3);
         }
     });
-    await waitUntil("a first acceptance", () => accepted.size > 0);
-    world.faults.loss = 0.08;
-    world.faults.doubles = 0.1;
+    await waitUntil("a first proposal to be accepted", () => accepted.size > 0);
+    simulation.faults.lossRate = 0.08;
+    simulation.faults.duplicateRate = 0.1;
     for (let round = 0; round < 4; round++) {
-        const victim = world.pick();
-        await world.crash(victim);
+        const crashed = simulation.pickReplica();
+        await simulation.crash(crashed);
         await wait(80);
         if (round === 2) {
-            world.emptyDisk(victim);
+            simulation.eraseDisk(crashed);
         }
-        world.start(victim);
+        simulation.start(crashed);
         const before = accepted.size;
-        await waitUntil("acceptances after a crash", () => accepted.size > before + 10);
-        const cut = NAMES[Math.floor(world.random() * NAMES.length)]!;
-        world.faults.cutOff.add(cut);
+        await waitUntil("proposals to be accepted after a crash", () => accepted.size > before + 10);
+        const isolated = NAMES[Math.floor(simulation.random() * NAMES.length)]!;
+        simulation.faults.partitioned.add(isolated);
         await wait(150);
-        world.faults.cutOff.clear();
-        await waitUntil("acceptances after a cut", () => accepted.size > before + 20);
+        simulation.faults.partitioned.clear();
+        await waitUntil("proposals to be accepted after a partition", () => accepted.size > before + 20);
     }
     stopped = true;
     await Promise.all(proposers);
-    world.faults.loss = 0;
-    world.faults.doubles = 0;
+    simulation.faults.lossRate = 0;
+    simulation.faults.duplicateRate = 0;
     await waitUntil(
-        "a last entry",
-        async () => (await world.replicas.get(world.pick())!.propose({ type: "noop" })).index > 0,
+        "a final entry to be accepted",
+        async () => (await simulation.replicas.get(simulation.pickReplica())!.propose({ type: "noop" })).index > 0,
     );
-    await waitUntil("all replicas to have applied the same", () => {
-        const applied = new Set([...world.replicas.values()].map(replica => replica.getAppliedIndex()));
+    await waitUntil("all replicas to reach the same applied index", () => {
+        const applied = new Set([...simulation.replicas.values()].map(replica => replica.getAppliedIndex()));
         return applied.size === 1;
     });
     return {
         accepted,
-        world,
-        snapshots: [...world.replicas.values()].every(replica => replica.getAppliedIndex() > SNAPSHOT_EVERY),
+        simulation,
+        hasSnapshots: [...simulation.replicas.values()].every(replica => replica.getAppliedIndex() > SNAPSHOT_EVERY),
     };
 }
 
 for (const seed of [1, 2, 3, 4, 5, 6]) {
-    void t.test(`nothing accepted is lost, and all replicas agree (seed ${seed})`, async t => {
-        const { accepted, world, snapshots } = await runWorld(seed);
-        const states = [...world.replicas.values()].map(replica =>
+    void t.test(`accepted entries are kept and all replicas agree (seed ${seed})`, async t => {
+        const { accepted, simulation, hasSnapshots } = await runSimulation(seed);
+        const states = [...simulation.replicas.values()].map(replica =>
             formatCanonicalJson(replica.state.createSnapshot().budgets)
         );
-        t.equal(new Set(states).size, 1, "one state");
-        t.ok(snapshots, "snapshots were taken");
-        const { budgets } = [...world.replicas.values()][0]!.state;
+        t.equal(new Set(states).size, 1, "all replicas have the same state");
+        t.ok(hasSnapshots, "snapshots were taken");
+        const { budgets } = [...simulation.replicas.values()][0]!.state;
         const missing = [...accepted.keys()].filter(operationId => budgets.tryGetTopUp(operationId) === undefined);
         t.same(missing, [], `of ${accepted.size} accepted`);
         t.ok(checkBudgetConservation(budgets.tryGetBudget("b")!));
-        await world.stopAll();
+        await simulation.stopAll();
     });
 }
 
-/** Counts on as it did while its box is suspended; the time of day does not. */
-class SuspendedClock extends SystemClock {
+/** A clock whose monotonic reading misses simulated suspensions, which its wall clock includes. */
+class SuspendableClock extends SystemClock {
     private missedMs = 0;
 
     suspend(ms: number): void {
@@ -186,18 +192,24 @@
     }
 }
 
-void t.test("what was confirmed before a box was suspended does not count as fresh after it", async t => {
-    const world = new World(9);
-    const clocks = new Map(NAMES.map(name => [name, new SuspendedClock()]));
-    NAMES.forEach(name => world.start(name, clocks.get(name)));
-    const all = [...world.replicas.values()];
-    await waitUntil("all are connected", () => all.every(replica => replica.isConnectedToMajority()));
+void t.test("contact before a suspension does not count as recent after it", async t => {
+    const simulation = new ReplicatedLogSimulation(9);
+    const clocks = new Map(NAMES.map(name => [name, new SuspendableClock()]));
+    NAMES.forEach(name => simulation.start(name, clocks.get(name)));
+    const all = [...simulation.replicas.values()];
+    await waitUntil(
+        "all replicas to be connected to a majority",
+        () => all.every(replica => replica.isConnectedToMajority()),
+    );
     for (const name of NAMES) {
-        world.faults.cutOff.add(name);
+        simulation.faults.partitioned.add(name);
         clocks.get(name)!.suspend(10_000);
-        t.notOk(world.replicas.get(name)!.isConnectedToMajority(), name);
-        world.faults.cutOff.delete(name);
+        t.notOk(simulation.replicas.get(name)!.isConnectedToMajority(), name);
+        simulation.faults.partitioned.delete(name);
     }
-    await waitUntil("they are again once they hear", () => all.every(replica => replica.isConnectedToMajority()));
-    await world.stopAll();
+    await waitUntil(
+        "all replicas to reconnect to a majority",
+        () => all.every(replica => replica.isConnectedToMajority()),
+    );
+    await simulation.stopAll();
 });
--- a/test/consensus/stopWhileJoining.test.ts
+++ b/test/consensus/stopWhileJoining.test.ts
@@ -1,9 +1,6 @@
 /**
- * A replica that is stopped while it joins the log ends without an error of its own.
- *
- * What was seen: `unhandledRejection ... diskFailed: Error: file closed` as controllers were stopped, once, beside load. A replica
- * with an emptied disk was still asking the others whether it may join; their answer came after its journal was closed, and
- * nobody took the rejection of what it then wrote. A process would have ended with an error at a planned stop.
+ * Guards against an unhandled rejection (`diskFailed: file closed`) when a replica is stopped while it joins the log: the
+ * answers of the other replicas may arrive after its journal was closed.
  */
 import t from "tap";
 import { LogStorage } from "../../src/consensus/logStorage.js";
@@ -16,7 +13,7 @@
 import { FakeJournal } from "../tools/fakes.js";
 import { MemoryNetwork } from "../tools/memoryNetwork.js";
 
-/** Refuses what is written after it was closed. */
+/** Rejects writes after it was closed. */
 class ClosableJournal extends FakeJournal {
     private isClosed = false;
 
@@ -31,15 +28,15 @@
     }
 }
 
-void t.test("a replica that is stopped while the others tell it that it may join", async t => {
+void t.test("a replica stopped while it waits for answers to its join writes nothing afterwards", async t => {
     const handlers = new PeerHandlers();
-    let asked = 0;
+    let requestCount = 0;
     handlers.add(replicaStateMethod, () => {
-        asked += 1;
+        requestCount += 1;
         return { term: 0, lastIndex: 0 };
     });
     const storage = new LogStorage({ journal: new ClosableJournal(true), records: [], tornBytes: 0 });
-    const faults = { loss: 0, doubles: 0, cutOff: new Set<string>() };
+    const faults = { lossRate: 0, duplicateRate: 0, partitioned: new Set<string>() };
     const network = new MemoryNetwork("a", new Map([["b", handlers]]), faults, () => 0.5);
     const replica = new ReplicatedLog(storage, network, new SystemClock(), new NoLog(), {
         name: "a",
@@ -52,8 +49,8 @@
     });
     replica.start();
     await replica.stop();
-    // An unhandled rejection would fail this test in the next turns.
+    // An unhandled rejection in the meantime fails this test.
     await new Promise(resolve => setTimeout(resolve, 50));
-    t.equal(asked, 1, "the answer came after the stop");
+    t.equal(requestCount, 1, "the request was answered after the stop");
     t.notOk(storage.isMember);
 });
--- a/test/tools/memoryNetwork.ts
+++ b/test/tools/memoryNetwork.ts
@@ -1,19 +1,20 @@
-/** A network in memory that loses, doubles and delays messages as a seeded generator says. */
+/** An in-memory network that loses, duplicates and delays messages as directed by a seeded generator. */
 import { createRefusal, RefusalError } from "../../src/domain/resultCodes.js";
 import { Peer, PeerHandlers, type PeerIdentity, type PeerMethod, PeerNetwork } from "../../src/ports/peer.js";
 
 const MAX_DELAY_MS = 4;
 
-/** What is wrong with the network at present. */
+/** Faults currently injected into the network. */
 export interface NetworkFaults {
-    /** Part of the messages that is lost, and that is delivered twice. */
-    loss: number;
-    doubles: number;
-    /** Addresses that reach nobody and are reached by nobody. */
-    readonly cutOff: Set<string>;
+    /** Fraction of requests, and of answers, that are lost. */
+    lossRate: number;
+    /** Fraction of requests that are delivered twice. */
+    duplicateRate: number;
+    /** Addresses cut off from all others, in both directions. */
+    readonly partitioned: Set<string>;
 }
 
-/** The handlers of each process by its address; absent while it is down. */
+/** Handlers of each running process by its address. */
 export type MemoryProcesses = Map<string, PeerHandlers>;
 
 export class MemoryNetwork extends PeerNetwork {
@@ -31,18 +32,18 @@
     }
 
     override async call<P, R>(address: string, method: PeerMethod<P, R>, params: P, timeoutMs: number): Promise<R> {
-        const lost = new RefusalError(createRefusal("peerTimeout", method.name, "unknown"));
+        const timeoutError = new RefusalError(createRefusal("peerTimeout", method.name, "unknown"));
         const sent = JSON.parse(JSON.stringify(params)) as unknown;
-        if (this.random() < this.faults.doubles) {
+        if (this.random() < this.faults.duplicateRate) {
             void this.deliver(address, method.name, sent).catch(() => undefined);
         }
         const timeout = new Promise<never>((_resolve, reject) =>
-            setTimeout(() => reject(lost), Math.min(timeoutMs, 60))
+            setTimeout(() => reject(timeoutError), Math.min(timeoutMs, 60))
         );
-        const answer = this.random() < this.faults.loss ? timeout : this.deliver(address, method.name, sent);
+        const answer = this.random() < this.faults.lossRate ? timeout : this.deliver(address, method.name, sent);
         const result = await Promise.race([answer, timeout]);
-        if (this.random() < this.faults.loss) {
-            throw lost;
+        if (this.random() < this.faults.lossRate) {
+            throw timeoutError;
         }
         return JSON.parse(JSON.stringify(result)) as R;
     }
@@ -50,18 +51,18 @@
     private async deliver(address: string, method: string, params: unknown): Promise<unknown> {
         await new Promise(resolve => setTimeout(resolve, this.random() * MAX_DELAY_MS));
         const handlers = this.processes.get(address);
-        if (handlers === undefined || this.faults.cutOff.has(address) || this.faults.cutOff.has(this.self)) {
+        if (handlers === undefined || this.faults.partitioned.has(address) || this.faults.partitioned.has(this.self)) {
             throw new RefusalError(createRefusal("peerGone", address, "unknown"));
         }
-        return handlers.handle(method, params, new NoPeer());
+        return handlers.handle(method, params, new UnreachablePeer());
     }
 }
 
-class NoPeer extends Peer {
+class UnreachablePeer extends Peer {
     override readonly identity: PeerIdentity = { name: "", role: "controller", zone: "", incarnation: "" };
     override call<P, R>(): Promise<R> {
         void (0 as unknown as P);
-        return Promise.reject(new Error("no way back"));
+        return Promise.reject(new Error("calls in the reverse direction are not supported"));
     }
     override notify(): void {}
     override onClose(): () => void {
