--- a/test/platform/boxSettings.test.ts
+++ b/test/platform/boxSettings.test.ts
@@ -1,8 +1,8 @@
-/** The platform's settings file: what is read, what is passed over, what is refused. */
+/** Parsing of the platform's settings file: valid settings, unknown fields and invalid settings. */
 import t from "tap";
 import { parseBoxSettings } from "../../platform/boxSettings.js";
 
-const SOUND = `
+const VALID_SETTINGS = `
 node_name = "core-1"
 ip = "10.1.0.41"
 zone = "z1"
@@ -10,7 +10,7 @@
 seeds = ["10.1.0.41:8229","10.2.0.30:8229"]
 bootstrap = true
 data_dir = "/data/x"
-a_field_of_tomorrow = [1, 2]
+unknown_field = [1, 2]
 [listen]
 admin = "10.1.0.41:8229"
 [fault_budget]
@@ -21,8 +21,8 @@
 retry_slack = 52
 `;
 
-void t.test("sound settings, with fields that are not known", t => {
-    t.match(parseBoxSettings(SOUND), {
+void t.test("valid settings with unknown fields are parsed", t => {
+    t.match(parseBoxSettings(VALID_SETTINGS), {
         box: "core-1",
         peerAddress: "10.1.0.41:7340",
         seeds: ["10.1.0.41:7340", "10.2.0.30:7340"],
@@ -35,14 +35,14 @@
     t.end();
 });
 
-const broken: readonly [string, string][] = [
-    ["no TOML", "node_name = = 3"],
-    ["a missing field", SOUND.replace(/zone = .*/, "")],
-    ["an odd address", SOUND.replace("10.2.0.30:8229", "10.2.0.30")],
-    ["an odd port range", SOUND.replace("[7340,7355]", "\"7340\"")],
+const invalidSettings: readonly [string, string][] = [
+    ["a TOML syntax error", "node_name = = 3"],
+    ["a missing field", VALID_SETTINGS.replace(/zone = .*/, "")],
+    ["an address without a port", VALID_SETTINGS.replace("10.2.0.30:8229", "10.2.0.30")],
+    ["an invalid port range", VALID_SETTINGS.replace("[7340,7355]", "\"7340\"")],
 ];
-for (const [what, text] of broken) {
-    void t.test(`settings with ${what} are refused by a number`, t => {
+for (const [what, text] of invalidSettings) {
+    void t.test(`settings with ${what} are rejected with a result code`, t => {
         t.throws(() => parseBoxSettings(text), { message: /^LW4001 settingsInvalid/ });
         t.end();
     });
