--- a/test/platform/callerServer.test.ts
+++ b/test/platform/callerServer.test.ts
@@ -1,4 +1,4 @@
-/** What callers send wrong: heads and bodies over the limits, half requests, bytes that are no HTTP. Nothing runs of it. */
+/** Oversized, incomplete and malformed requests from callers are rejected and not forwarded to engines. */
 import { once } from "node:events";
 import { connect } from "node:net";
 import { Worker } from "node:worker_threads";
@@ -12,12 +12,12 @@
 const CALLER_PORT = 8227;
 const MAX_HEAD_BYTES = 2_000;
 const MAX_BODY_BYTES = 1_000;
-/** Larger than any limit of the parser itself. */
-const HUGE_HEAD_BYTES = 80_000;
+/** Exceeds the limit of the HTTP parser. */
+const OVERSIZED_HEAD_BYTES = 80_000;
 const HEADER_TIMEOUT_MS = 300;
 const fleet = new DirectFleet(NETWORK);
 
-/** Sends bytes over a connection of their own and answers all that comes back until it is closed. */
+/** Sends data on a new connection and returns everything received until the connection is closed. */
 async function sendRaw(...parts: readonly string[]): Promise<string> {
     const socket = connect(CALLER_PORT, fleet.getIp("r1"));
     let received = "";
@@ -29,8 +29,8 @@
     return received;
 }
 
-/** Sends bytes and closes the connection from another thread, while this one, and the router in it, stands still. */
-function blockUntilSentAndLeft(bytes: string): void {
+/** Blocks this thread, which runs the router, until another thread has sent a request and closed its connection. */
+function blockUntilSentAndClosed(bytes: string): void {
     const done = new Int32Array(new SharedArrayBuffer(Int32Array.BYTES_PER_ELEMENT));
     const worker = new Worker(
         `const { workerData } = require("node:worker_threads");
@@ -59,7 +59,7 @@
     ].join("\r\n");
 }
 
-async function callRouter(headers: Record<string, string>, body: string): Promise<number> {
+async function sendRequest(headers: Record<string, string>, body: string): Promise<number> {
     const answer = await request(fleet.getCallerUrl("r1", "/s/x"), {
         method: "POST",
         headers: {
@@ -75,7 +75,7 @@
     return answer.statusCode;
 }
 
-void t.test("callers that send what is not allowed", async t => {
+void t.test("invalid requests from callers", async t => {
     await fleet.open();
     t.teardown(() => fleet.close());
     await Promise.all(["c1", "c2", "c3"].map(box => fleet.startController(box, true)));
@@ -107,49 +107,49 @@
     const { daemon } = fleet.routers.get("r1")!.role;
     await waitUntil("engine known", () => daemon.registry.tryGet("e1") !== undefined);
     await waitUntil("bundle in force", () => daemon.getBundleRevision() === 1);
-    // The time limits are taken over with the first request after a bundle.
-    t.equal(await callRouter({}, "{}"), 200);
-    let ran = fleet.engineRequests.length;
+    // The timeouts of a bundle are applied with the next request.
+    t.equal(await sendRequest({}, "{}"), 200);
+    let forwardedCount = fleet.engineRequests.length;
 
-    await t.test("a head over the configured limit", async t => {
-        t.equal(await callRouter({ "X-Filler": "f".repeat(MAX_HEAD_BYTES) }, "{}"), 431);
+    await t.test("a head larger than the configured limit", async t => {
+        t.equal(await sendRequest({ "X-Filler": "f".repeat(MAX_HEAD_BYTES) }, "{}"), 431);
     });
 
-    await t.test("a head over the parser's own limit", async t => {
-        t.match(await sendRaw(createHead([`X-Filler: ${"f".repeat(HUGE_HEAD_BYTES)}`])), /^HTTP\/1.1 431 /);
+    await t.test("a head larger than the limit of the parser", async t => {
+        t.match(await sendRaw(createHead([`X-Filler: ${"f".repeat(OVERSIZED_HEAD_BYTES)}`])), /^HTTP\/1.1 431 /);
     });
 
-    await t.test("a body over the limit, with a length and in chunks", async t => {
-        t.equal(await callRouter({}, "b".repeat(MAX_BODY_BYTES + 1)), 413);
+    await t.test("a body larger than the limit, with a content length and chunked", async t => {
+        t.equal(await sendRequest({}, "b".repeat(MAX_BODY_BYTES + 1)), 413);
         const chunk = "b".repeat(MAX_BODY_BYTES);
         const chunks = `${chunk.length.toString(16)}\r\n${chunk}\r\n`.repeat(2);
         t.match(await sendRaw(createHead(["Transfer-Encoding: chunked"]), chunks), /^HTTP\/1.1 413 /);
     });
 
-    await t.test("half a head: refused when its time is over", async t => {
+    await t.test("an incomplete head is rejected after the header timeout", async t => {
         t.match(await sendRaw("POST /s/x HTTP/1.1\r\nHost: api.exa"), /^HTTP\/1.1 408 |^HTTP\/1.1 400 /);
     });
 
-    await t.test("bytes that are no HTTP, and two lengths that disagree", async t => {
+    await t.test("data that is not HTTP, and conflicting content lengths", async t => {
         t.match(await sendRaw("\x16\x03\x01 hello\r\n\r\n"), /^HTTP\/1.1 400 /);
         t.match(await sendRaw(createHead(["Content-Length: 2", "Content-Length: 3"]), "{}"), /^HTTP\/1.1 400 /);
         t.match(await sendRaw(createHead(["Content-Length: 2", "Transfer-Encoding: chunked"])), /^HTTP\/1.1 400 /);
     });
 
-    await t.test("a body that the caller never ends is not passed on", async t => {
+    await t.test("an incomplete body is not forwarded", async t => {
         const socket = connect(CALLER_PORT, fleet.getIp("r1"));
         await once(socket, "connect");
         await new Promise(resolve => socket.write(createHead(["Content-Length: 10"]) + "{", resolve));
         socket.destroy();
         await once(socket, "close");
-        t.equal(await callRouter({}, "{}"), 200, "the router serves on");
+        t.equal(await sendRequest({}, "{}"), 200, "the router still serves requests");
     });
 
-    await t.test("a caller that has left before a router that lags behind reads its request", async t => {
-        blockUntilSentAndLeft(createHead(["Content-Length: 2"]) + "{}");
-        t.equal(await callRouter({}, "{}"), 200, "the router serves on");
-        ran += 1;
+    await t.test("a request whose caller disconnects before a lagging router reads it is not forwarded", async t => {
+        blockUntilSentAndClosed(createHead(["Content-Length: 2"]) + "{}");
+        t.equal(await sendRequest({}, "{}"), 200, "the router still serves requests");
+        forwardedCount += 1;
     });
 
-    t.equal(fleet.engineRequests.length, ran + 1, "nothing but the last good request has reached the engine");
+    t.equal(fleet.engineRequests.length, forwardedCount + 1, "only the valid requests have reached the engine");
 });
--- a/test/platform/engineClient.test.ts
+++ b/test/platform/engineClient.test.ts
@@ -1,19 +1,18 @@
-/** The engine client against a small engine that frames, cuts, resets and mixes up its answers. */
+/** The engine client detects incomplete and stray responses, and controls which headers reach an engine. */
 import { createServer, type Server, type Socket } from "node:net";
 import t from "tap";
 import { EngineClient } from "../../platform/engineClient.js";
 import type { UpstreamCall, UpstreamFailure, UpstreamHead, UpstreamListener } from "../../src/ports/directUpstream.js";
 
-/** What came of one exchange. */
 interface Outcome {
     readonly heads: UpstreamHead[];
     readonly body: string;
-    readonly end: "whole" | UpstreamFailure;
+    readonly end: "complete" | UpstreamFailure;
 }
 
 const HEAD = "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nInstance-Signature: s\r\n";
 
-/** An engine that answers each request by `answer`; resolves to its address. */
+/** Starts an engine that handles each chunk of data it receives with `answer`. */
 async function startEngine(
     answer: (socket: Socket, text: string) => void,
 ): Promise<{ address: string; server: Server; }> {
@@ -46,7 +45,7 @@
     };
 }
 
-function exchange(client: EngineClient, call: UpstreamCall): Promise<Outcome> {
+function runExchange(client: EngineClient, call: UpstreamCall): Promise<Outcome> {
     return new Promise(resolve => {
         const heads: UpstreamHead[] = [];
         let body = "";
@@ -60,7 +59,7 @@
                 body += bytes.toString("latin1");
                 return true;
             },
-            onEnd: () => resolve({ heads, body, end: "whole" }),
+            onEnd: () => resolve({ heads, body, end: "complete" }),
             onFailure: failure => resolve({ heads, body, end: failure }),
         };
         client.send(call, listener);
@@ -69,16 +68,16 @@
 
 async function withEngine(
     answer: (socket: Socket, text: string) => void,
-    use: (client: EngineClient, address: string) => Promise<void>,
+    run: (client: EngineClient, address: string) => Promise<void>,
 ): Promise<void> {
     const { address, server } = await startEngine(answer);
     const client = new EngineClient();
-    await use(client, address);
+    await run(client, address);
     client.close();
     server.close();
 }
 
-void t.test("an answer without a length that is reset is not whole; one that ends is", async t => {
+void t.test("a response without a length is complete if its connection ends, but not if it is reset", async t => {
     await withEngine(
         (socket, text) => {
             socket.write(`${HEAD}Connection: close\r\n\r\npart`);
@@ -86,37 +85,37 @@
         },
         async (client, address) => {
             const call = createCall(address);
-            const reset = await exchange(client, { ...call, request: { ...call.request, target: "/reset" } });
-            t.not(reset.end, "whole");
-            const ended = await exchange(client, call);
-            t.equal(ended.end, "whole");
+            const reset = await runExchange(client, { ...call, request: { ...call.request, target: "/reset" } });
+            t.not(reset.end, "complete");
+            const ended = await runExchange(client, call);
+            t.equal(ended.end, "complete");
             t.equal(ended.body, "part");
         },
     );
 });
 
-void t.test("an answer without a length on a connection that is not said to close is no less reset", async t => {
+void t.test("a response with neither a length nor Connection: close is incomplete if its connection is reset", async t => {
     await withEngine(
         socket => {
             socket.write(`${HEAD}\r\npart`);
             setTimeout(() => socket.resetAndDestroy(), 30);
         },
         async (client, address) => {
-            t.not((await exchange(client, createCall(address))).end, "whole");
+            t.not((await runExchange(client, createCall(address))).end, "complete");
         },
     );
 });
 
-void t.test("an answer that is cut short of its length is not whole", async t => {
+void t.test("a response shorter than its Content-Length is incomplete", async t => {
     await withEngine(
         socket => socket.end(`${HEAD}Content-Length: 10\r\n\r\npart`),
         async (client, address) => {
-            t.match((await exchange(client, createCall(address))).end, { wasSent: true });
+            t.match((await runExchange(client, createCall(address))).end, { wasSent: true });
         },
     );
 });
 
-void t.test("what the engine is sent, and how its head is read", async t => {
+void t.test("request headers sent to the engine, and parsing of the response head", async t => {
     let sent = "";
     await withEngine(
         (socket, text) => {
@@ -124,7 +123,7 @@
             socket.write("HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n");
         },
         async (client, address) => {
-            const outcome = await exchange(client, createCall(address, { resumeAfter: "7" }));
+            const outcome = await runExchange(client, createCall(address, { resumeAfter: "7" }));
             t.match(outcome.heads, [{ status: 503, isNotRun: true, isOwn: true, isSigned: false }]);
             t.match(sent, /^POST \/p\/x\?q=1 HTTP\/1\.1\r\n/);
             t.match(sent, /Expect-Instance: u1\r\n/i);
@@ -135,8 +134,8 @@
     );
 });
 
-/** The head that an engine is sent of a request with these headers of its caller's. */
-async function readSentHead(headers: readonly string[]): Promise<string> {
+/** Returns the request head that an engine receives for a request with the given headers from its caller. */
+async function captureSentHead(headers: readonly string[]): Promise<string> {
     let sent = "";
     await withEngine(
         (socket, text) => {
@@ -145,23 +144,22 @@
         },
         async (client, address) => {
             const call = createCall(address);
-            await exchange(client, { ...call, request: { ...call.request, headers } });
+            await runExchange(client, { ...call, request: { ...call.request, headers } });
         },
     );
     return sent;
 }
 
-/** The values of a header in the head of a message. */
-function getValues(head: string, name: string): string[] {
+function getHeaderValues(head: string, name: string): string[] {
     return [...head.matchAll(new RegExp(`^${name}: (.*)\r$`, "gim"))].map(match => match[1]!);
 }
 
-/** What the router sets itself in these tests; the other names have no value of its own. */
-const OWN_VALUES = new Map([["deadline-ms", "1000"], ["expect-instance", "u1"], ["tenant", "acc"], [
+/** Values set by the router in these tests; it does not set the other headers. */
+const ROUTER_HEADER_VALUES = new Map([["deadline-ms", "1000"], ["expect-instance", "u1"], ["tenant", "acc"], [
     "request-priority",
     "2",
 ]]);
-const STEERING_NAMES = [
+const ROUTER_CONTROL_NAMES = [
     "Deadline-Ms",
     "Expect-Instance",
     "Expect-Version",
@@ -175,9 +173,9 @@
     "Kv-Backup",
 ];
 
-for (const name of STEERING_NAMES) {
-    void t.test(`a caller does not steer an engine by ${name}`, async t => {
-        const own = OWN_VALUES.get(name.toLowerCase());
+for (const name of ROUTER_CONTROL_NAMES) {
+    void t.test(`the header ${name} of a caller is not forwarded to the engine`, async t => {
+        const own = ROUTER_HEADER_VALUES.get(name.toLowerCase());
         const expected = own === undefined ? [] : [own];
         const spellings = [
             [name, "5"],
@@ -186,37 +184,37 @@
             ["Connection", name, name, "5"],
         ];
         for (const headers of spellings) {
-            const head = await readSentHead(["Attempt-Id", "a1", ...headers]);
-            t.same(getValues(head, name), expected, headers.join(" "));
-            t.same(getValues(head, "Attempt-Id"), ["a1"]);
+            const head = await captureSentHead(["Attempt-Id", "a1", ...headers]);
+            t.same(getHeaderValues(head, name), expected, headers.join(" "));
+            t.same(getHeaderValues(head, "Attempt-Id"), ["a1"]);
         }
     });
 }
 
-void t.test("a caller that lists what it asks in Connection asks it all the same", async t => {
+void t.test("end-to-end headers are forwarded even if the caller lists them in Connection", async t => {
     const asked = ["Attempt-Id", "a1", "Model", "m", "Token-Usage", "5,6", "Prefix-Hash", "a:5", "Last-Event-Id", "3"];
     const names = asked.filter((_, i) => i % 2 === 0);
-    const head = await readSentHead(["Connection", `${names.join(", ")}, X-Hop`, "X-Hop", "1", ...asked]);
+    const head = await captureSentHead(["Connection", `${names.join(", ")}, X-Hop`, "X-Hop", "1", ...asked]);
     for (const name of names) {
-        t.same(getValues(head, name), [asked[asked.indexOf(name) + 1]], name);
+        t.same(getHeaderValues(head, name), [asked[asked.indexOf(name) + 1]], name);
     }
-    t.same(getValues(head, "X-Hop"), []);
+    t.same(getHeaderValues(head, "X-Hop"), []);
 });
 
-void t.test("a stray answer to another request is told apart", async t => {
+void t.test("a stray response to another request is detected", async t => {
     await withEngine(
         socket =>
             socket.write("HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nInstance-Signature: s\r\nContent-Length: 0\r\n\r\n"),
         async (client, address) => {
-            t.match((await exchange(client, createCall(address))).heads, [{ isOwn: false }]);
+            t.match((await runExchange(client, createCall(address))).heads, [{ isOwn: false }]);
         },
     );
 });
 
-void t.test("a request that cannot be sent has certainly not run", async t => {
+void t.test("a request to an unreachable engine counts as not sent", async t => {
     const { address, server } = await startEngine(() => undefined);
     await new Promise(resolve => server.close(resolve));
     const client = new EngineClient();
-    t.match((await exchange(client, createCall(address))).end, { wasSent: false });
+    t.match((await runExchange(client, createCall(address))).end, { wasSent: false });
     client.close();
 });
--- a/test/platform/engineSignals.test.ts
+++ b/test/platform/engineSignals.test.ts
@@ -1,4 +1,4 @@
-/** What engines say of themselves in headers, also where it makes no sense. */
+/** Parsing of the state that engines report in response headers, including invalid values. */
 import t from "tap";
 import { decodeSignals } from "../../platform/engineSignals.js";
 
@@ -8,14 +8,14 @@
     return decodeSignals(status, new Map(Object.entries(headers)), NOW);
 }
 
-void t.test("nothing is said", t => {
-    const nothing = { limitPerSecond: undefined, isLeaving: false, restMs: undefined, unreadable: [] };
-    t.same(decode(200, {}), nothing);
-    t.same(decode(200, { "retry-after": "3" }), nothing, "an answer that turns nobody away asks for no rest");
+void t.test("a response without signals", t => {
+    const noSignals = { limitPerSecond: undefined, isLeaving: false, restMs: undefined, unreadable: [] };
+    t.same(decode(200, {}), noSignals);
+    t.same(decode(200, { "retry-after": "3" }), noSignals, "Retry-After is ignored unless the request was rejected");
     t.end();
 });
 
-void t.test("a limit is a decimal number", t => {
+void t.test("the rate limit is a decimal number", t => {
     t.equal(decode(200, { "server-limit": "1" }).limitPerSecond, 1);
     t.equal(decode(503, { "server-limit": " 0.25 " }).limitPerSecond, 0.25);
     t.equal(decode(200, { "server-limit": "0" }).limitPerSecond, 0);
@@ -27,14 +27,14 @@
     t.end();
 });
 
-void t.test("leaving is 1", t => {
+void t.test("the value 1 announces a shutdown", t => {
     t.equal(decode(200, { "server-leaving": "1" }).isLeaving, true);
     t.equal(decode(200, { "server-leaving": "0" }).isLeaving, false);
     t.same(decode(200, { "server-leaving": "soon" }).unreadable, ["server-leaving=soon"]);
     t.end();
 });
 
-void t.test("a rest is asked for in seconds or until a date", t => {
+void t.test("Retry-After is a number of seconds or a date", t => {
     t.equal(decode(503, { "retry-after": "3" }).restMs, 3_000);
     t.equal(decode(503, { "retry-after": "0.5" }).restMs, 500);
     t.equal(decode(429, { "retry-after": "Tue, 10 Mar 2026 11:00:07 GMT" }).restMs, 7_000);
