--- a/src/adapters/boundedOutput.ts
+++ b/src/adapters/boundedOutput.ts
@@ -1,73 +1,72 @@
 /**
- * Writes lines to a file descriptor without ever holding up the process: what the reader does not take in time is left
- * out, lines of less weight first, and a line tells how many.
+ * Writes lines to a file descriptor without blocking the process. Lines that exceed the buffer are dropped, those of low
+ * priority first, and a log line reports their count.
  */
 import { write } from "node:fs";
 
-/** Waiting bytes above which lines of level info are left out: some seconds of a busy router's log. */
-const INFO_LIMIT_BYTES = 256 * 1024;
-/** Waiting bytes above which every line is left out. */
-const LIMIT_BYTES = 1024 * 1024;
-/** Pause before a write that the reader had no room for is tried again, in milliseconds. */
-const RETRY_MS = 50;
+/** Buffered bytes above which lines of level info are dropped. */
+const MAX_BUFFERED_INFO_BYTES = 256 * 1024;
+/** Buffered bytes above which every line is dropped. */
+const MAX_BUFFERED_BYTES = 1024 * 1024;
+const WRITE_RETRY_DELAY_MS = 50;
 
 export class BoundedOutput {
-    private waiting: string[] = [];
-    private waitingBytes = 0;
-    private leftOut = 0;
-    private writing = false;
-    private broken = false;
+    private buffered: string[] = [];
+    private bufferedBytes = 0;
+    private droppedLines = 0;
+    private isWriting = false;
+    private hasFailed = false;
 
     constructor(private readonly fd: number) {}
 
-    /** Takes a line with its end. `isMinor`: it goes before others where there is no room. */
-    writeLine(line: string, isMinor: boolean): void {
-        if (this.broken) {
+    /** `line` includes its newline. Lines with `isLowPriority` are dropped at a lower buffer size. */
+    writeLine(line: string, isLowPriority: boolean): void {
+        if (this.hasFailed) {
             return;
         }
-        if (this.waitingBytes > (isMinor ? INFO_LIMIT_BYTES : LIMIT_BYTES)) {
-            this.leftOut += 1;
+        if (this.bufferedBytes > (isLowPriority ? MAX_BUFFERED_INFO_BYTES : MAX_BUFFERED_BYTES)) {
+            this.droppedLines += 1;
             return;
         }
-        if (this.leftOut > 0) {
-            this.add(`level=warn event=log_lines_left_out count=${this.leftOut}\n`);
-            this.leftOut = 0;
+        if (this.droppedLines > 0) {
+            this.addToBuffer(`level=warn event=log_lines_left_out count=${this.droppedLines}\n`);
+            this.droppedLines = 0;
         }
-        this.add(line);
-        this.writeNext();
+        this.addToBuffer(line);
+        this.flushBuffer();
     }
 
-    private add(line: string): void {
-        this.waiting.push(line);
-        this.waitingBytes += line.length;
+    private addToBuffer(line: string): void {
+        this.buffered.push(line);
+        this.bufferedBytes += line.length;
     }
 
-    private writeNext(): void {
-        if (this.writing || this.waiting.length === 0) {
+    private flushBuffer(): void {
+        if (this.isWriting || this.buffered.length === 0) {
             return;
         }
-        this.writing = true;
-        const bytes = Buffer.from(this.waiting.join(""));
-        this.waiting = [];
-        this.waitingBytes = bytes.length;
+        this.isWriting = true;
+        const bytes = Buffer.from(this.buffered.join(""));
+        this.buffered = [];
+        this.bufferedBytes = bytes.length;
         this.writeBytes(bytes);
     }
 
     private writeBytes(bytes: Buffer): void {
         write(this.fd, bytes, (error, written) => {
             if (error !== null && error.code !== "EAGAIN") {
-                // Nobody reads any more; the process goes on without a log.
-                this.broken = true;
+                // The reader is gone; the process continues without a log.
+                this.hasFailed = true;
                 return;
             }
-            const rest = bytes.subarray(error === null ? written : 0);
-            this.waitingBytes = Math.max(0, this.waitingBytes - (bytes.length - rest.length));
-            if (rest.length > 0) {
-                setTimeout(() => this.writeBytes(rest), error === null ? 0 : RETRY_MS);
+            const remaining = bytes.subarray(error === null ? written : 0);
+            this.bufferedBytes = Math.max(0, this.bufferedBytes - (bytes.length - remaining.length));
+            if (remaining.length > 0) {
+                setTimeout(() => this.writeBytes(remaining), error === null ? 0 : WRITE_RETRY_DELAY_MS);
                 return;
             }
-            this.writing = false;
-            this.writeNext();
+            this.isWriting = false;
+            this.flushBuffer();
         });
     }
 }
--- a/src/adapters/keyValueLog.ts
+++ b/src/adapters/keyValueLog.ts
@@ -1,22 +1,20 @@
-/** Logs through bunyan, one line of key=value pairs an event. */
+/** Logs through bunyan, with one line of key=value pairs per event. */
 import bunyan from "bunyan";
 import { Log, type LogFields } from "../ports/log.js";
 import { BoundedOutput } from "./boundedOutput.js";
 
-/** Fields of every event, in the order they are written. */
+/** Fields that identify the process in every event. */
 export interface LogIdentity {
     readonly role: string;
     readonly name: string;
     readonly zone: string;
 }
 
-const SKIPPED = new Set(["v", "level", "time", "msg", "pid", "hostname", "name", "role", "zone"]);
+const NON_EVENT_KEYS = new Set(["v", "level", "time", "msg", "pid", "hostname", "name", "role", "zone"]);
 
-/** Where the lines go. */
 export type LogOutput = Pick<BoundedOutput, "writeLine">;
 
-/** File descriptor of standard output. */
-const STANDARD_OUTPUT = 1;
+const STDOUT_FD = 1;
 
 /** Writes bunyan's records as key=value lines. */
 class KeyValueStream {
@@ -34,7 +32,7 @@
         ];
         pairs.push(`event=${formatValue(record["msg"])}`);
         for (const [key, value] of Object.entries(record)) {
-            if (!SKIPPED.has(key) && value !== undefined) {
+            if (!NON_EVENT_KEYS.has(key) && value !== undefined) {
                 pairs.push(`${key}=${formatValue(value)}`);
             }
         }
@@ -42,7 +40,7 @@
     }
 }
 
-/** Quotes a value where it would not read back as one word. */
+/** Quotes a value that is empty or contains whitespace, `=` or a double quote. */
 export function formatValue(value: unknown): string {
     const text = String(value);
     return /^[^\s"=]+$/.test(text) ? text : JSON.stringify(text);
@@ -54,7 +52,7 @@
     constructor(
         identity: LogIdentity,
         level: "info" | "warn" | "error",
-        out: LogOutput = new BoundedOutput(STANDARD_OUTPUT),
+        out: LogOutput = new BoundedOutput(STDOUT_FD),
     ) {
         super();
         this.logger = bunyan.createLogger({
--- a/src/adapters/listening.ts
+++ b/src/adapters/listening.ts
@@ -1,9 +1,9 @@
-/** Opens a server's listener. */
+/** Starts listening on a server socket. */
 import type { Server } from "node:net";
 
 /**
- * Resolves once the server listens; rejects where it cannot. `backlog`: most connections that wait to be taken; the system's
- * own bound where it is left out.
+ * Resolves once the server is listening; rejects if it cannot. `backlog`: maximum length of the queue of pending
+ * connections; Node's default if omitted.
  */
 export function startListening(server: Server, host: string, port: number, backlog?: number): Promise<void> {
     return new Promise((resolve, reject) => {
--- a/src/adapters/listeningCheck.ts
+++ b/src/adapters/listeningCheck.ts
@@ -1,17 +1,17 @@
-/** Finds out whether a process listens at an address. */
+/** Checks whether a process is listening at an address. */
 import { connect } from "node:net";
 import { parseAddress } from "./rpc/tcpNetwork.js";
 
 /**
- * False where a connection to HOST:PORT is refused, undefined where there is another error or no answer within `timeoutMs`.
- * The connection is closed at once; nothing is sent over it.
+ * Returns false if a connection to HOST:PORT is refused, and undefined on any other error or if the connection is not
+ * established within `timeoutMs`. Closes the connection at once without sending anything.
  */
 export function isListening(address: string, timeoutMs: number): Promise<boolean | undefined> {
     return new Promise(resolve => {
         const socket = connect({ ...parseAddress(address), timeout: timeoutMs });
-        const finish = (answer: boolean | undefined): void => {
+        const finish = (result: boolean | undefined): void => {
             socket.destroy();
-            resolve(answer);
+            resolve(result);
         };
         socket.once("connect", () => finish(true));
         socket.once("timeout", () => finish(undefined));
--- a/src/adapters/prometheusMetrics.ts
+++ b/src/adapters/prometheusMetrics.ts
@@ -1,12 +1,11 @@
-/** Keeps counters, gauges and latency histograms and serves them as text in the Prometheus format. */
+/** Metrics in the Prometheus text format, served over HTTP. */
 import { createServer, type Server } from "node:http";
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import { Metrics } from "../ports/metrics.js";
 import { startListening } from "./listening.js";
 
-/** Every name begins with it. */
-const PREFIX = "loomwinch_";
-/** Upper bounds in milliseconds, from a lookup that is answered at once to the longest stream. */
+const NAME_PREFIX = "loomwinch_";
+/** Upper bounds of the histogram buckets. */
 const TIMING_BUCKETS_MS = [5, 10, 25, 50, 100, 200, 400, 800, 1_500, 3_000, 6_000, 15_000];
 
 /** Creates each metric when it is first recorded. */
@@ -17,7 +16,7 @@
     private readonly timings = new Map<string, Histogram>();
     private server: Server | undefined;
 
-    /** Serves the figures at any path of `host`:`port`. Resolves once it listens. */
+    /** Serves the metrics at any path of `host`:`port`. Resolves once the server is listening. */
     async listen(host: string, port: number): Promise<void> {
         const server = createServer((_request, response) => {
             this.registry.metrics().then(
@@ -51,15 +50,19 @@
     }
 
     private getOrCreate<T>(
-        kept: Map<string, T>,
+        metrics: Map<string, T>,
         name: string,
         create: (options: { name: string; help: string; registers: Registry[]; }) => T,
     ): T {
-        let metric = kept.get(name);
+        let metric = metrics.get(name);
         if (metric === undefined) {
-            // The list of names with unit and meaning is docs/METRICS.md.
-            metric = create({ name: `${PREFIX}${name.replaceAll(".", "_")}`, help: name, registers: [this.registry] });
-            kept.set(name, metric);
+            // docs/METRICS.md lists the names with unit and meaning.
+            metric = create({
+                name: `${NAME_PREFIX}${name.replaceAll(".", "_")}`,
+                help: name,
+                registers: [this.registry],
+            });
+            metrics.set(name, metric);
         }
         return metric;
     }
--- a/src/adapters/statsdMetrics.ts
+++ b/src/adapters/statsdMetrics.ts
@@ -1,10 +1,10 @@
-/** Metrics by statsd. */
+/** Metrics sent to a StatsD collector. */
 import { StatsD } from "hot-shots";
 import { Metrics } from "../ports/metrics.js";
 import { parseAddress } from "./rpc/tcpNetwork.js";
 
-const PREFIX = "loomwinch.";
-const BUFFER_BYTES = 1400;
+const NAME_PREFIX = "loomwinch.";
+const MAX_BUFFER_BYTES = 1400;
 
 export class StatsdMetrics extends Metrics {
     private readonly client: StatsD;
@@ -15,10 +15,10 @@
         this.client = new StatsD({
             host,
             port,
-            prefix: PREFIX,
+            prefix: NAME_PREFIX,
             globalTags: tags,
-            maxBufferSize: BUFFER_BYTES,
-            // Metrics are sent and forgotten: a collector that is away is no reason to fail.
+            maxBufferSize: MAX_BUFFER_BYTES,
+            // Delivery is best effort: an unreachable collector must not cause an error.
             errorHandler: () => undefined,
         });
     }
