--- a/src/adapters/disk/journalFile.ts
+++ b/src/adapters/disk/journalFile.ts
@@ -1,8 +1,8 @@
 /**
- * A journal in one file: a line a record, each with its checksum, synced in groups.
+ * A journal in one file with one checksummed line per record. Concurrent appends are written and synced as a group.
  *
- * A torn tail (the last write before a crash) is cut off and counted: nobody was answered for it. Damage that is
- * followed by a sound record is refused with diskCorrupt, because what is lost there was promised to somebody.
+ * An incomplete record at the end is truncated: the write was interrupted by a crash and was never acknowledged. A corrupt
+ * record that is followed by a valid one fails with diskCorrupt, because an acknowledged write is lost.
  */
 import { type FileHandle, open, readFile, rename } from "node:fs/promises";
 import { dirname } from "node:path";
@@ -10,57 +10,57 @@
 import { createRefusal, RefusalError } from "../../domain/resultCodes.js";
 import { Journal, type OpenedJournal } from "../../ports/journal.js";
 
-const CHECKSUM_LENGTH = 8;
+const CHECKSUM_HEX_DIGITS = 8;
 const NEWLINE = 0x0a;
 
 interface PendingWrite {
     readonly records: readonly unknown[];
-    /** Set where the write replaces the whole file. */
-    readonly replaces: boolean;
+    /** Whether the write replaces the content of the file. */
+    readonly isReplacement: boolean;
     readonly resolve: () => void;
     readonly reject: (error: Error) => void;
 }
 
 interface ParsedFile {
     readonly records: unknown[];
-    readonly soundBytes: number;
+    readonly validBytes: number;
 }
 
-/** How a journal meets a disk that refuses a write. */
+/** How a journal handles failed writes. */
 export interface JournalFileOptions {
     /**
-     * Pause before a refused write is tried again, in milliseconds; whoever waits for it goes on waiting. Left out, a
-     * refused write fails the journal for good.
+     * Delay before a failed write is retried, in milliseconds; its promise stays pending meanwhile. If omitted, a failed
+     * write fails the journal permanently.
      */
     readonly retryWriteMs?: number;
-    /** Told of each write that was refused and will be tried again. */
+    /** Called for each failed write that will be retried. */
     readonly onRefused?: (error: unknown) => void;
 }
 
-/** A line that holds all the records of one group, so that a group is there whole after a loss of power, or not at all. */
+/** One line for all records of a group, so that the group is written atomically. */
 interface RecordGroup {
     readonly type: "group";
     readonly records: readonly unknown[];
 }
 
-/** Opens the journal at `path`, creating it when missing. */
+/** Opens the journal at `path` and creates it if it does not exist. */
 export async function openJournalFile(path: string, options: JournalFileOptions = {}): Promise<OpenedJournal> {
-    const content = await readFileIfPresent(path);
+    const content = await readFileIfExists(path);
     const parsed = parseRecords(content, path);
     const file = await open(path, "a");
-    if (parsed.soundBytes < content.length) {
-        await file.truncate(parsed.soundBytes);
+    if (parsed.validBytes < content.length) {
+        await file.truncate(parsed.validBytes);
         await file.sync();
     }
-    await syncFolder(dirname(path));
+    await syncDirectory(dirname(path));
     return {
-        journal: new JournalFile(path, file, parsed.soundBytes, options),
+        journal: new JournalFile(path, file, parsed.validBytes, options),
         records: parsed.records,
-        tornBytes: content.length - parsed.soundBytes,
+        tornBytes: content.length - parsed.validBytes,
     };
 }
 
-/** Appends in groups: whatever gathers while one sync runs is written and synced together by the next. */
+/** Group commit: writes that arrive during a sync are written and synced together by the next one. */
 class JournalFile extends Journal {
     private pending: PendingWrite[] = [];
     private writing: Promise<void> | undefined;
@@ -95,21 +95,21 @@
         await this.file.close();
     }
 
-    private enqueue(records: readonly unknown[], replaces: boolean): Promise<void> {
+    private enqueue(records: readonly unknown[], isReplacement: boolean): Promise<void> {
         if (this.failure !== undefined) {
             return Promise.reject(this.failure);
         }
         return new Promise((resolve, reject) => {
-            this.pending.push({ records, replaces, resolve, reject });
+            this.pending.push({ records, isReplacement, resolve, reject });
             this.writing ??= this.writePending();
         });
     }
 
     private async writePending(): Promise<void> {
         while (this.pending.length > 0) {
-            const group = this.takeGroup();
+            const group = this.takeNextGroup();
             try {
-                await this.writeGroupUntilTaken(group);
+                await this.writeGroupWithRetries(group);
                 group.forEach(write => write.resolve());
             }
             catch (error) {
@@ -119,17 +119,17 @@
         this.writing = undefined;
     }
 
-    /** The next writes that can be synced together: one replacement, or appends up to the next replacement. */
-    private takeGroup(): PendingWrite[] {
-        if (this.pending[0]!.replaces) {
+    /** Removes the next writes that can be synced together: one replacement, or the appends before the next replacement. */
+    private takeNextGroup(): PendingWrite[] {
+        if (this.pending[0]!.isReplacement) {
             return this.pending.splice(0, 1);
         }
-        const end = this.pending.findIndex(write => write.replaces);
+        const end = this.pending.findIndex(write => write.isReplacement);
         return this.pending.splice(0, end < 0 ? this.pending.length : end);
     }
 
-    /** Writes a group, again and again where the disk refuses it and the journal is to outlast that. */
-    private async writeGroupUntilTaken(group: readonly PendingWrite[]): Promise<void> {
+    /** Retries a failed write until it succeeds, if `retryWriteMs` is set and the journal is not closed. */
+    private async writeGroupWithRetries(group: readonly PendingWrite[]): Promise<void> {
         const { retryWriteMs, onRefused } = this.options;
         for (let isRetry = false;; isRetry = true) {
             try {
@@ -150,12 +150,12 @@
 
     private async writeGroup(group: readonly PendingWrite[]): Promise<void> {
         const records = group.flatMap(write => write.records);
-        if (group[0]!.replaces) {
+        if (group[0]!.isReplacement) {
             await this.writeReplacement(Buffer.from(records.map(formatRecord).join("")));
             return;
         }
-        const whole: RecordGroup = { type: "group", records };
-        const bytes = Buffer.from(formatRecord(records.length === 1 ? records[0] : whole));
+        const combined: RecordGroup = { type: "group", records };
+        const bytes = Buffer.from(formatRecord(records.length === 1 ? records[0] : combined));
         await this.file.appendFile(bytes);
         await this.file.datasync();
         this.size += bytes.length;
@@ -168,13 +168,13 @@
         await replacement.sync();
         await replacement.close();
         await rename(temporary, this.path);
-        await syncFolder(dirname(this.path));
+        await syncDirectory(dirname(this.path));
         await this.file.close();
         this.file = await open(this.path, "a");
         this.size = bytes.length;
     }
 
-    /** After a failed write nothing later may be acknowledged: the file's end is not known any more. */
+    /** Fails all later writes as well, because the end of the file is unknown after a failed write. */
     private failPending(group: readonly PendingWrite[], error: unknown): void {
         this.failure = new RefusalError(createRefusal("diskFailed", String(error), "unknown"));
         const failed = [...group, ...this.pending];
@@ -183,50 +183,52 @@
     }
 }
 
-/** One record as its line. */
+/** Formats a record as a line: checksum, JSON and newline. */
 export function formatRecord(record: unknown): string {
     const json = JSON.stringify(record);
     return `${formatChecksum(json)} ${json}\n`;
 }
 
 function formatChecksum(json: string): string {
-    return crc32(json).toString(16).padStart(CHECKSUM_LENGTH, "0");
+    return crc32(json).toString(16).padStart(CHECKSUM_HEX_DIGITS, "0");
 }
 
 function parseRecords(content: Buffer, path: string): ParsedFile {
     const records: unknown[] = [];
     let start = 0;
-    let damagedAt: number | undefined;
+    let corruptOffset: number | undefined;
     while (start < content.length) {
         const end = content.indexOf(NEWLINE, start);
         const record = end < 0 ? undefined : tryParseRecord(content.toString("utf8", start, end));
         if (record === undefined) {
-            damagedAt ??= start;
+            corruptOffset ??= start;
         }
-        else if (damagedAt !== undefined) {
-            throw new RefusalError(createRefusal("diskCorrupt", `${path} at byte ${damagedAt}`, "unknown"));
+        else if (corruptOffset !== undefined) {
+            throw new RefusalError(
+                createRefusal("diskCorrupt", `${path}: corrupt record at byte ${corruptOffset}`, "unknown"),
+            );
         }
         else {
-            records.push(...(isGroup(record) ? record.records : [record]));
+            records.push(...(isRecordGroup(record) ? record.records : [record]));
         }
         start = end < 0 ? content.length : end + 1;
     }
-    return { records, soundBytes: damagedAt ?? content.length };
+    return { records, validBytes: corruptOffset ?? content.length };
 }
 
-function isGroup(record: unknown): record is RecordGroup {
+function isRecordGroup(record: unknown): record is RecordGroup {
     return typeof record === "object" && (record as Partial<RecordGroup>).type === "group";
 }
 
 function tryParseRecord(line: string): unknown {
-    const json = line.slice(CHECKSUM_LENGTH + 1);
-    if (json.length === 0 || line.slice(0, CHECKSUM_LENGTH) !== formatChecksum(json)) {
+    const json = line.slice(CHECKSUM_HEX_DIGITS + 1);
+    if (json.length === 0 || line.slice(0, CHECKSUM_HEX_DIGITS) !== formatChecksum(json)) {
         return undefined;
     }
     return JSON.parse(json) as unknown;
 }
 
-async function readFileIfPresent(path: string): Promise<Buffer> {
+async function readFileIfExists(path: string): Promise<Buffer> {
     try {
         return await readFile(path);
     }
@@ -238,9 +240,9 @@
     }
 }
 
-/** Makes a new name in a folder last. */
-async function syncFolder(folder: string): Promise<void> {
-    const handle = await open(folder, "r");
+/** Syncs a directory, so that a created or renamed file in it survives a crash. */
+async function syncDirectory(path: string): Promise<void> {
+    const handle = await open(path, "r");
     try {
         await handle.sync();
     }
--- a/src/ports/journal.ts
+++ b/src/ports/journal.ts
@@ -1,20 +1,20 @@
-/** An ordered file of records on a disk of the system's own. */
+/** An append-only file of records. */
 export abstract class Journal {
-    /** Appends a record; resolves once it is synced. Records are synced in the order of the calls. */
+    /** Appends a record and resolves once it is synced. Records are synced in call order. */
     abstract append(record: unknown): Promise<void>;
-    /** Replaces the whole content by `records`, all at once, before anything appended later. */
+    /** Atomically replaces the content with `records`, before any record appended later. */
     abstract replaceAll(records: readonly unknown[]): Promise<void>;
-    /** How many bytes it holds. */
+    /** Returns the size in bytes. */
     abstract getSize(): number;
-    /** Syncs what is pending and closes the file. */
+    /** Waits for pending writes and closes the file. */
     abstract close(): Promise<void>;
 }
 
-/** A journal as it was found at the start. */
+/** A journal and the content it had when it was opened. */
 export interface OpenedJournal {
     readonly journal: Journal;
     /** The records, oldest first. */
     readonly records: readonly unknown[];
-    /** Bytes cut off the end, because their write was torn by a crash. */
+    /** Bytes of an incomplete write that were truncated from the end. */
     readonly tornBytes: number;
 }
--- a/test/adapters/journalFile.test.ts
+++ b/test/adapters/journalFile.test.ts
@@ -1,4 +1,4 @@
-/** A journal after a crash: torn at any byte of its last record it recovers; damaged before its end it says so. */
+/** Guards against data loss after a crash: an incomplete last record is dropped, an earlier corrupt one is an error. */
 import { mkdtemp, readFile, rm, writeFile } from "node:fs/promises";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
@@ -16,7 +16,7 @@
     tokens: 3,
 }];
 
-void t.test("torn at every byte of the last record, it has the others and goes on", async t => {
+void t.test("torn at every byte of the last record, the journal keeps the other records and accepts appends", async t => {
     const whole = Buffer.from(records.map(formatRecord).join(""));
     const lastStart = whole.length - Buffer.byteLength(formatRecord(records[2]));
     for (let length = lastStart; length < whole.length; length++) {
@@ -41,7 +41,7 @@
     await t.rejects(openJournalFile(path), { message: /LW4003 diskCorrupt/ });
 });
 
-void t.test("appends are kept in order around a replacement", async t => {
+void t.test("appends keep their order around a replacement", async t => {
     const path = join(folder, "replaced");
     const { journal } = await openJournalFile(path);
     await Promise.all([
