--- a/src/adapters/http/answerSinks.ts
+++ b/src/adapters/http/answerSinks.ts
@@ -1,47 +1,47 @@
-/** The ways an answer reaches its caller: server-sent events, one JSON body, or a plain response. */
+/** Writes an answer to an HTTP response: as server-sent events, as one JSON body, or passed through unchanged. */
 import type { FastifyReply } from "fastify";
 import { AnswerSink, type AnswerUsage } from "../../daemons/router/job.js";
 import { createRefusal, type Refusal } from "../../domain/resultCodes.js";
 import type { AnswerPiece } from "../../protocol/runMethods.js";
 import { createErrorBody, sendRefusal } from "./httpApp.js";
 
-/** How long a caller may take nothing before its answer is given up, in milliseconds. */
-const CALLER_STALL_MS = 30_000;
+/** How long a write may block on a caller that does not read before its connection is closed. */
+const CALLER_STALL_TIMEOUT_MS = 30_000;
 
-/** Marks an answer with its request id, so that a caller can come back for it. */
+/** Response header with the request id, by which a caller can fetch the answer again. */
 export const REQUEST_ID_HEADER = "x-request-id";
 
 abstract class HttpSink extends AnswerSink {
-    private gone = false;
+    private disconnected = false;
     private readonly finished: Promise<void>;
-    private finish: () => void = () => undefined;
+    private resolveFinished: () => void = () => undefined;
 
     constructor(protected readonly reply: FastifyReply, protected readonly requestId: string) {
         super();
         this.finished = new Promise(resolve => {
-            this.finish = resolve;
+            this.resolveFinished = resolve;
         });
         reply.raw.on("close", () => {
-            this.gone = !reply.raw.writableFinished;
-            this.finish();
+            this.disconnected = !reply.raw.writableFinished;
+            this.resolveFinished();
         });
     }
 
     override isGone(): boolean {
-        return this.gone;
+        return this.disconnected;
     }
 
-    /** Resolves when the last byte is out or the caller is gone. */
+    /** Resolves when the response is fully written or the caller has disconnected. */
     waitFinished(): Promise<void> {
         return this.finished;
     }
 
-    /** Writes, and waits while the caller is slower than the answer. A caller that takes nothing is cut off. */
+    /** Writes with backpressure. Closes the connection if the caller stops reading. */
     protected async write(text: string | Buffer): Promise<void> {
-        if (this.gone || this.reply.raw.write(text)) {
+        if (this.disconnected || this.reply.raw.write(text)) {
             return;
         }
-        const timer = setTimeout(() => this.reply.raw.destroy(), CALLER_STALL_MS);
+        const timer = setTimeout(() => this.reply.raw.destroy(), CALLER_STALL_TIMEOUT_MS);
         await new Promise<void>(resolve => {
             this.reply.raw.once("drain", resolve);
             this.reply.raw.once("close", resolve);
@@ -50,17 +50,17 @@
     }
 
     protected sendRefusal(refusal: Refusal): void {
-        if (!this.gone) {
+        if (!this.disconnected) {
             void this.reply.header(REQUEST_ID_HEADER, this.requestId);
             sendRefusal(this.reply, refusal);
         }
     }
 }
 
-/** `stream: true`: each piece as an event, as it comes. */
+/** `stream: true`: sends each piece as a server-sent event as it arrives. */
 export class ChatStreamSink extends HttpSink {
-    private begun = false;
-    private readonly prefix: string;
+    private headSent = false;
+    private readonly chunkPrefix: string;
     private finishReason = "stop";
 
     constructor(
@@ -70,49 +70,51 @@
         private readonly includeUsage: boolean,
     ) {
         super(reply, requestId);
-        this.prefix = `data: ${
-            JSON.stringify(createChatHead(requestId, model, "chat.completion.chunk")).slice(0, -1)
+        this.chunkPrefix = `data: ${
+            JSON.stringify(createChatEnvelope(requestId, model, "chat.completion.chunk")).slice(0, -1)
         },"choices":[{"index":0,"delta":`;
     }
 
     override hasBegun(): boolean {
-        return this.begun;
+        return this.headSent;
     }
 
     override async writePieces(pieces: readonly AnswerPiece[]): Promise<void> {
-        this.begin();
+        this.sendHead();
         let text = "";
         for (const piece of pieces) {
             if ("delta" in piece) {
                 this.finishReason = piece.finish ?? this.finishReason;
-                text += `${this.prefix}${JSON.stringify(piece.delta)},"finish_reason":null}]}\n\n`;
+                text += `${this.chunkPrefix}${JSON.stringify(piece.delta)},"finish_reason":null}]}\n\n`;
             }
         }
         await this.write(text);
     }
 
-    /** The reason of the end and the usage come last, once it is certain that the answer is whole. */
+    /** Sends the finish reason and the usage last, once the answer is known to be complete. */
     override end(usage: AnswerUsage): void {
         if (this.isGone()) {
             return;
         }
-        this.begin();
-        const body = JSON.stringify(createUsageBody(usage));
-        const finish = `${this.prefix}{},"finish_reason":${JSON.stringify(this.finishReason)}}],"usage":${body}}\n\n`;
-        const extra = this.includeUsage
+        this.sendHead();
+        const usageJson = JSON.stringify(createUsageBody(usage));
+        const finishChunk = `${this.chunkPrefix}{},"finish_reason":${
+            JSON.stringify(this.finishReason)
+        }}],"usage":${usageJson}}\n\n`;
+        const usageChunk = this.includeUsage
             ? `data: ${
                 JSON.stringify({
-                    ...createChatHead(this.requestId, this.model, "chat.completion.chunk"),
+                    ...createChatEnvelope(this.requestId, this.model, "chat.completion.chunk"),
                     choices: [],
                     usage: createUsageBody(usage),
                 })
             }\n\n`
             : "";
-        this.reply.raw.end(`${finish}${extra}data: [DONE]\n\n`);
+        this.reply.raw.end(`${finishChunk}${usageChunk}data: [DONE]\n\n`);
     }
 
     override fail(refusal: Refusal): void {
-        if (!this.begun) {
+        if (!this.headSent) {
             this.sendRefusal(refusal);
         }
         else if (!this.isGone()) {
@@ -120,9 +122,9 @@
         }
     }
 
-    private begin(): void {
-        if (!this.begun) {
-            this.begun = true;
+    private sendHead(): void {
+        if (!this.headSent) {
+            this.headSent = true;
             this.reply.hijack();
             this.reply.raw.writeHead(200, {
                 "Content-Type": "text/event-stream",
@@ -133,7 +135,7 @@
     }
 }
 
-/** `stream: false`: the whole answer as one body, once it is whole. */
+/** `stream: false`: sends the answer as one JSON body once it is complete. */
 export class ChatJsonSink extends HttpSink {
     private readonly message: Record<string, unknown> = { role: "assistant", content: "" };
     private readonly toolCalls: Record<string, unknown>[] = [];
@@ -151,7 +153,7 @@
         for (const piece of pieces) {
             if ("delta" in piece) {
                 this.finishReason = piece.finish ?? this.finishReason;
-                this.addDelta(piece.delta);
+                this.mergeDelta(piece.delta);
             }
         }
     }
@@ -159,7 +161,7 @@
     override end(usage: AnswerUsage): void {
         const message = this.toolCalls.length === 0 ? this.message : { ...this.message, tool_calls: this.toolCalls };
         const body = {
-            ...createChatHead(this.requestId, this.model, "chat.completion"),
+            ...createChatEnvelope(this.requestId, this.model, "chat.completion"),
             choices: [{ index: 0, message, finish_reason: this.finishReason }],
             usage: createUsageBody(usage),
         };
@@ -174,10 +176,10 @@
         this.sendRefusal(refusal);
     }
 
-    private addDelta(delta: Readonly<Record<string, unknown>>): void {
+    private mergeDelta(delta: Readonly<Record<string, unknown>>): void {
         for (const [key, value] of Object.entries(delta)) {
             if (key === "tool_calls") {
-                (value as { index: number; }[]).forEach(call => this.addToolCall(call));
+                (value as { index: number; }[]).forEach(call => this.mergeToolCall(call));
             }
             else if (typeof value === "string" && key !== "role") {
                 this.message[key] = String(this.message[key] ?? "") + value;
@@ -185,30 +187,30 @@
         }
     }
 
-    private addToolCall(call: { index: number; function?: { name?: string; arguments?: string; }; }): void {
+    private mergeToolCall(call: { index: number; function?: { name?: string; arguments?: string; }; }): void {
         const { index, ...rest } = call;
-        const known = this.toolCalls[index] as { function: { arguments: string; }; } | undefined;
-        if (known === undefined) {
+        const existing = this.toolCalls[index] as { function: { arguments: string; }; } | undefined;
+        if (existing === undefined) {
             this.toolCalls[index] = rest;
         }
         else {
-            known.function.arguments += call.function?.arguments ?? "";
+            existing.function.arguments += call.function?.arguments ?? "";
         }
     }
 }
 
-/** A plain service's response, passed through. */
+/** Passes the response of a plain service through. */
 export class PlainSink extends HttpSink {
-    private begun = false;
+    private headSent = false;
 
     override hasBegun(): boolean {
-        return this.begun;
+        return this.headSent;
     }
 
     override async writePieces(pieces: readonly AnswerPiece[]): Promise<void> {
         for (const piece of pieces) {
             if ("status" in piece) {
-                this.begun = true;
+                this.headSent = true;
                 this.reply.hijack();
                 this.reply.raw.writeHead(piece.status, { ...piece.headers, [REQUEST_ID_HEADER]: this.requestId });
             }
@@ -219,17 +221,17 @@
     }
 
     override end(): void {
-        if (!this.begun) {
-            this.fail(createRefusal("upstreamFailed", "no answer came", "unknown"));
+        if (!this.headSent) {
+            this.fail(createRefusal("upstreamFailed", "upstream sent no response", "unknown"));
         }
         else if (!this.isGone()) {
             this.reply.raw.end();
         }
     }
 
-    /** A response that breaks off is cut, never ended as if it were whole. */
+    /** Closes the connection of a response that has started, so that the caller can detect the truncation. */
     override fail(refusal: Refusal): void {
-        if (!this.begun) {
+        if (!this.headSent) {
             this.sendRefusal(refusal);
         }
         else {
@@ -238,7 +240,7 @@
     }
 }
 
-function createChatHead(requestId: string, model: string, object: string): Record<string, unknown> {
+function createChatEnvelope(requestId: string, model: string, object: string): Record<string, unknown> {
     return { id: requestId, object, created: Math.floor(Date.now() / 1000), model };
 }
 
--- a/src/adapters/http/callerApi.ts
+++ b/src/adapters/http/callerApi.ts
@@ -1,4 +1,4 @@
-/** What callers and the platform's balancer reach of a router. The paths are listed in docs/API.md. */
+/** A router's HTTP API for callers and the platform's load balancer. docs/API.md lists the paths. */
 import { All, Controller, Get, Inject, Post, Req, Res } from "@nestjs/common";
 import type { FastifyReply, FastifyRequest } from "fastify";
 import type { CallerHeaders } from "../../daemons/router/callerRequests.js";
@@ -8,7 +8,7 @@
 
 export const ROUTER_DAEMON = Symbol("RouterDaemon");
 
-const PLAIN_REQUEST_HEADERS = ["content-type", "accept", "accept-language", "if-none-match", "if-modified-since"];
+const FORWARDED_REQUEST_HEADERS = ["content-type", "accept", "accept-language", "if-none-match", "if-modified-since"];
 
 @Controller()
 export class CallerApi {
@@ -19,7 +19,7 @@
         return { status: "ok" };
     }
 
-    /** What the balancer goes by: 200 only while new requests are welcome. */
+    /** Readiness probe for the load balancer: 200 only while the router accepts new requests. */
     @Get("readyz")
     getReadiness(@Res({ passthrough: true }) reply: FastifyReply): unknown {
         const state = this.router.getReadiness();
@@ -44,7 +44,7 @@
         const job = this.router.requests.createPlainJob(getCallerHeaders(request), service, {
             method: request.method,
             path: request.url.slice(`/services/${service}`.length),
-            headers: getPlainHeaders(request),
+            headers: getForwardedHeaders(request),
             body: Buffer.isBuffer(request.body) ? request.body : Buffer.alloc(0),
         });
         await this.router.answer(job, new PlainSink(reply, job.requestId));
@@ -60,9 +60,9 @@
     };
 }
 
-function getPlainHeaders(request: FastifyRequest): Record<string, string> {
+function getForwardedHeaders(request: FastifyRequest): Record<string, string> {
     const headers: Record<string, string> = {};
-    for (const name of PLAIN_REQUEST_HEADERS) {
+    for (const name of FORWARDED_REQUEST_HEADERS) {
         const value = getHeader(request, name);
         if (value !== undefined) {
             headers[name] = value;
--- a/src/adapters/http/httpApp.ts
+++ b/src/adapters/http/httpApp.ts
@@ -1,4 +1,4 @@
-/** An HTTP listener on nestjs and fastify that hands every body over as bytes and answers refusals by their code. */
+/** An HTTP server on NestJS and Fastify that does not parse request bodies and maps refusals to error responses. */
 import {
     type ArgumentsHost,
     Catch,
@@ -17,30 +17,29 @@
 import type { Log } from "../../ports/log.js";
 import { parseAddress } from "../rpc/tcpNetwork.js";
 
-/** Largest request body, in bytes. */
 export const MAX_BODY_BYTES = 2 * 1024 * 1024;
-/** Largest sum of a request's header bytes. */
+/** Limit on the total size of a request's headers. */
 export const MAX_HEADER_BYTES = 16 * 1024;
-/** How long a client may take to send its headers, and its whole request. Milliseconds. */
+/** Limits on the time a client takes to send its headers, and its whole request. */
 const HEADERS_TIMEOUT_MS = 10_000;
 const REQUEST_TIMEOUT_MS = 30_000;
 
 class RootModule {}
 
-/** The nestjs controllers of a listener and what they are given. */
+/** The NestJS controllers of a server, and the providers injected into them. */
 export interface HttpAppOptions {
     readonly controllers: readonly Type[];
     readonly providers: readonly Provider[];
     readonly log: Log;
 }
 
-/** A listener that is running. */
+/** A running server. */
 export interface HttpApp {
     readonly address: string;
     close(): Promise<void>;
 }
 
-/** Starts a listener at `address`, such as 127.0.0.1:8080; port 0 takes a free one. */
+/** Starts a server at `address`, such as 127.0.0.1:8080. With port 0 the system chooses a free port. */
 export async function startHttpApp(address: string, options: HttpAppOptions): Promise<HttpApp> {
     const server = fastify({
         bodyLimit: MAX_BODY_BYTES,
@@ -51,7 +50,7 @@
         },
         forceCloseConnections: "idle",
         return503OnClosing: false,
-        clientErrorHandler: answerUnparsable,
+        clientErrorHandler: handleClientError,
         frameworkErrors: (error, _request, reply) => sendRefusal(reply, getHttpRefusal(error)),
     });
     server.removeAllContentTypeParsers();
@@ -67,36 +66,35 @@
     const { host, port } = parseAddress(address);
     await app.listen(port, host);
     const bound = server.server.address() as { address: string; port: number; };
-    return { address: `${bound.address}:${bound.port}`, close: () => closeGently(app, server.server) };
+    return { address: `${bound.address}:${bound.port}`, close: () => closeGracefully(app, server.server) };
 }
 
-/** Stops listening and resolves when every open request has had its answer. */
-async function closeGently(app: NestFastifyApplication, server: Server): Promise<void> {
-    const timer = setInterval(() => server.closeIdleConnections(), IDLE_TURN_MS);
+/** Stops listening and resolves when every open request has been answered. */
+async function closeGracefully(app: NestFastifyApplication, server: Server): Promise<void> {
+    const timer = setInterval(() => server.closeIdleConnections(), IDLE_CONNECTION_CHECK_PERIOD_MS);
     await app.close();
     clearInterval(timer);
 }
 
-const IDLE_TURN_MS = 50;
+const IDLE_CONNECTION_CHECK_PERIOD_MS = 50;
 
-/** Answers by the refusal's row of the table, in the shape that chat-completions clients expect of an error. */
+/** Sends a refusal with the status of its result code and a body that chat-completions clients accept as an error. */
 export function sendRefusal(reply: FastifyReply, refusal: Refusal): void {
-    const row = ResultCodes[refusal.code];
+    const resultCode = ResultCodes[refusal.code];
     if (refusal.retryAfterMs !== undefined) {
         void reply.header("Retry-After", String(Math.max(1, Math.ceil(refusal.retryAfterMs / 1000))));
     }
     void reply.header("x-loomwinch-ran", refusal.ran);
-    void reply.status(row.status).send(createErrorBody(refusal));
+    void reply.status(resultCode.status).send(createErrorBody(refusal));
 }
 
-/** The JSON body of an error answer. */
 export function createErrorBody(refusal: Refusal): { error: Record<string, unknown>; } {
-    const row = ResultCodes[refusal.code];
+    const resultCode = ResultCodes[refusal.code];
     return {
         error: {
-            message: refusal.detail === undefined ? row.message : `${row.message} (${refusal.detail})`,
+            message: refusal.detail === undefined ? resultCode.message : `${resultCode.message} (${refusal.detail})`,
             type: refusal.code,
-            code: `LW${row.number}`,
+            code: `LW${resultCode.number}`,
             ran: refusal.ran,
             ...(refusal.retryAfterMs === undefined ? {} : { retry_after_ms: Math.ceil(refusal.retryAfterMs) }),
         },
@@ -138,27 +136,27 @@
     }
 }
 
-/** What could not even be parsed as HTTP gets its numbered answer too. */
-function answerUnparsable(error: { code?: string; }, socket: Socket): void {
+/** Answers a request that is not valid HTTP with a result code as well. */
+function handleClientError(error: { code?: string; }, socket: Socket): void {
     if (!socket.writable) {
         socket.destroy();
         return;
     }
-    const tooLarge = error.code === "HPE_HEADER_OVERFLOW";
-    const refusal = tooLarge
-        ? createRefusal("badHeader", `headers over ${MAX_HEADER_BYTES} bytes`)
+    const isHeaderOverflow = error.code === "HPE_HEADER_OVERFLOW";
+    const refusal = isHeaderOverflow
+        ? createRefusal("badHeader", `headers exceed ${MAX_HEADER_BYTES} bytes`)
         : createRefusal("malformedRequest");
     const body = JSON.stringify(createErrorBody(refusal));
-    const status = tooLarge ? "431 Request Header Fields Too Large" : "400 Bad Request";
+    const status = isHeaderOverflow ? "431 Request Header Fields Too Large" : "400 Bad Request";
     const head = [`HTTP/1.1 ${status}`, "Content-Type: application/json", `Content-Length: ${Buffer.byteLength(body)}`];
     socket.end(`${head.join("\r\n")}\r\nx-loomwinch-ran: no\r\nConnection: close\r\n\r\n${body}`);
 }
 
-/** The JSON of a body, or a refusal that says where it is broken. */
+/** Parses the body as JSON. Throws malformedBody, with the parser's message. */
 export function parseJsonBody(request: FastifyRequest): unknown {
     const body = request.body;
     if (!Buffer.isBuffer(body) || body.length === 0) {
-        throw new RefusalError(createRefusal("malformedBody", "a JSON body is needed"));
+        throw new RefusalError(createRefusal("malformedBody", "JSON body required"));
     }
     try {
         return JSON.parse(body.toString("utf8")) as unknown;
@@ -168,7 +166,7 @@
     }
 }
 
-/** The token of an `Authorization: Bearer` header, if there is one. */
+/** Returns the token of an `Authorization: Bearer` header, or undefined if there is none. */
 export function tryGetBearer(request: FastifyRequest): string | undefined {
     return /^Bearer ([\x21-\x7e]{1,256})$/i.exec(request.headers.authorization ?? "")?.[1];
 }
--- a/src/adapters/http/operatorApi.ts
+++ b/src/adapters/http/operatorApi.ts
@@ -1,4 +1,4 @@
-/** The operators' resource API over HTTP and JSON. The paths are listed in docs/API.md. */
+/** The operators' resource API over HTTP and JSON. docs/API.md lists the paths. */
 import { Controller, Delete, Get, Inject, Param, Post, Put, Query, Req, Res } from "@nestjs/common";
 import type { FastifyReply, FastifyRequest } from "fastify";
 import { OperatorService } from "../../daemons/controller/operatorService.js";
@@ -6,7 +6,7 @@
 import { createRefusal, RefusalError } from "../../domain/resultCodes.js";
 import { parseJsonBody, tryGetBearer } from "./httpApp.js";
 
-/** An operator, as the controller's settings name it. */
+/** An operator in the controller's settings. */
 export interface OperatorEntry {
     readonly name: string;
     readonly tokenHash: string;
@@ -15,8 +15,8 @@
 export const OPERATOR_SERVICE = Symbol("OperatorService");
 export const OPERATORS = Symbol("Operators");
 
-const DEFAULT_ROWS = 100;
-const MAX_ROWS = 10_000;
+const DEFAULT_ITEM_LIMIT = 100;
+const MAX_ITEM_LIMIT = 10_000;
 
 @Controller("api/v1")
 export class OperatorApi {
@@ -34,13 +34,13 @@
     @Get("audit")
     getAudit(@Req() request: FastifyRequest, @Query("limit") limit?: string): unknown {
         this.checkOperator(request);
-        return { items: this.service.getAudit(parseCount("limit", limit, DEFAULT_ROWS)) };
+        return { items: this.service.getAudit(parseCount("limit", limit, DEFAULT_ITEM_LIMIT)) };
     }
 
     @Get("bills")
     getBills(@Req() request: FastifyRequest, @Query("limit") limit?: string): unknown {
         this.checkOperator(request);
-        return { items: this.service.getBills(parseCount("limit", limit, DEFAULT_ROWS)) };
+        return { items: this.service.getBills(parseCount("limit", limit, DEFAULT_ITEM_LIMIT)) };
     }
 
     @Get("watch")
@@ -53,8 +53,8 @@
         const revision = parseCount("from", from, 0, Number.MAX_SAFE_INTEGER);
         reply.hijack();
         reply.raw.writeHead(200, { "Content-Type": "application/jsonl" });
-        const isWanted = (): boolean => !reply.raw.destroyed && !reply.raw.writableEnded;
-        await this.service.watch(revision, isWanted, (type, changes, at) => {
+        const isConnected = (): boolean => !reply.raw.destroyed && !reply.raw.writableEnded;
+        await this.service.watch(revision, isConnected, (type, changes, at) => {
             reply.raw.write(`${JSON.stringify({ type, revision: at, changes })}\n`);
         });
         reply.raw.end();
@@ -63,9 +63,9 @@
     @Post("top-ups")
     async topUp(@Req() request: FastifyRequest, @Res({ passthrough: true }) reply: FastifyReply): Promise<unknown> {
         const operator = this.checkOperator(request);
-        const answer = await this.service.topUp(operator, parseJsonBody(request));
+        const result = await this.service.topUp(operator, parseJsonBody(request));
         void reply.status(200);
-        return answer;
+        return result;
     }
 
     @Post("release")
@@ -73,7 +73,9 @@
         const operator = this.checkOperator(request);
         const body = parseJsonBody(request) as { budget?: unknown; tokens?: unknown; };
         if (typeof body.budget !== "string" || !Number.isSafeInteger(body.tokens) || (body.tokens as number) <= 0) {
-            throw new RefusalError(createRefusal("badTokenCount", "budget and tokens are needed"));
+            throw new RefusalError(
+                createRefusal("badTokenCount", "budget and a positive integer of tokens are required"),
+            );
         }
         void reply.status(200);
         return this.service.releaseUnaccounted(operator, body.budget, body.tokens as number);
@@ -125,24 +127,24 @@
         return this.service.delete(operator, kind, name, expected, operationId);
     }
 
-    /** Every operator's hash is compared, so that the time taken tells nothing. */
+    /** Compares the token with every operator's hash, so that the response time does not reveal a match. */
     private checkOperator(request: FastifyRequest): string {
         const token = tryGetBearer(request) ?? "";
-        const found = this.operators.filter(operator => isKeyValid(token, [operator.tokenHash]));
-        if (found.length === 0) {
+        const matches = this.operators.filter(operator => isKeyValid(token, [operator.tokenHash]));
+        if (matches.length === 0) {
             throw new RefusalError(createRefusal("operatorUnknown"));
         }
-        return found[0]!.name;
+        return matches[0]!.name;
     }
 }
 
-function parseCount(name: string, text: string | undefined, otherwise: number, most = MAX_ROWS): number {
+function parseCount(name: string, text: string | undefined, defaultValue: number, max = MAX_ITEM_LIMIT): number {
     if (text === undefined) {
-        return otherwise;
+        return defaultValue;
     }
     const count = Number(text);
-    if (!Number.isSafeInteger(count) || count < 0 || count > most) {
-        throw new RefusalError(createRefusal("badTokenCount", `${name} must be an integer from 0 to ${most}`));
+    if (!Number.isSafeInteger(count) || count < 0 || count > max) {
+        throw new RefusalError(createRefusal("badTokenCount", `${name} must be an integer from 0 to ${max}`));
     }
     return count;
 }
