--- a/src/adapters/rpc/handshake.ts
+++ b/src/adapters/rpc/handshake.ts
@@ -1,6 +1,6 @@
 /**
- * The first two calls on a connection: each side proves that it knows the fleet secret without sending it.
- * The proofs name the side that gives them, so that neither can be sent back as the other.
+ * Challenge-response handshake of a connection: each side proves that it knows the fleet secret without sending it.
+ * A proof includes the side that computed it, so that it cannot be reflected to its sender.
  */
 import { createHmac, timingSafeEqual } from "node:crypto";
 import * as z from "zod";
@@ -32,13 +32,12 @@
     z.object({ proof: z.string().max(128) }),
 );
 
-/** The nonces of one connection. */
 export interface HandshakeNonces {
     readonly dialer: string;
     readonly acceptor: string;
 }
 
-/** The proof one side gives. */
+/** Computes the proof of one side, an HMAC over both nonces and the identity of that side. */
 export function computeProof(
     secret: string,
     side: "dialer" | "acceptor",
@@ -58,7 +57,7 @@
 }
 
 /** Compares proofs in constant time. */
-export function isProofEqual(a: string, b: string): boolean {
+export function areProofsEqual(a: string, b: string): boolean {
     const left = Buffer.from(a);
     const right = Buffer.from(b);
     return left.length === right.length && timingSafeEqual(left, right);
--- a/src/adapters/rpc/lineReader.ts
+++ b/src/adapters/rpc/lineReader.ts
@@ -1,31 +1,30 @@
-/** Splits a socket's bytes into lines, with a bound on a line's length and on how long one may stay unfinished. */
+/** Splits a socket's bytes into lines, with limits on the length of a line and on the time to receive it. */
 import type { Socket } from "node:net";
 import { createRefusal, RefusalError } from "../../domain/resultCodes.js";
 
-/** Longest line taken from a peer, in bytes. */
 export const MAX_LINE_BYTES = 8 * 1024 * 1024;
-/** How long a peer may leave a line unfinished, in milliseconds. */
-export const LINE_STALL_MS = 10_000;
+/** Limit on the time from the first bytes of an incomplete line to its end. */
+export const LINE_TIMEOUT_MS = 10_000;
 
 const NEWLINE = 0x0a;
 
-/** The lines of a socket, without their ends. Ends when the socket does; throws peerLineTooLong or peerStalled. */
+/** Yields the lines of a socket without their newlines until the socket ends. Throws peerLineTooLong or peerStalled. */
 export async function* readLines(
     socket: Socket,
     maxBytes = MAX_LINE_BYTES,
-    stallMs = LINE_STALL_MS,
+    timeoutMs = LINE_TIMEOUT_MS,
 ): AsyncGenerator<string> {
     let parts: Buffer[] = [];
     let length = 0;
-    let stalled = false;
+    let hasTimedOut = false;
     let timer: NodeJS.Timeout | undefined;
-    const startStallTimer = (): void => {
+    const startLineTimer = (): void => {
         timer ??= setTimeout(() => {
-            stalled = true;
+            hasTimedOut = true;
             socket.destroy();
-        }, stallMs);
+        }, timeoutMs);
     };
-    const stopStallTimer = (): void => {
+    const stopLineTimer = (): void => {
         clearTimeout(timer);
         timer = undefined;
     };
@@ -38,7 +37,7 @@
                 const line = parts.length === 1 ? parts[0]!.toString("utf8") : Buffer.concat(parts).toString("utf8");
                 parts = [];
                 length = 0;
-                stopStallTimer();
+                stopLineTimer();
                 yield line;
                 start = end + 1;
                 end = data.indexOf(NEWLINE, start);
@@ -46,23 +45,23 @@
             if (start < data.length) {
                 parts.push(data.subarray(start));
                 length += data.length - start;
-                startStallTimer();
+                startLineTimer();
             }
             if (length > maxBytes) {
-                throw new RefusalError(createRefusal("peerLineTooLong", `over ${maxBytes} bytes`));
+                throw new RefusalError(createRefusal("peerLineTooLong", `line exceeds ${maxBytes} bytes`));
             }
         }
     }
     catch (error) {
-        if (stalled) {
-            throw new RefusalError(createRefusal("peerStalled", `line unfinished after ${stallMs} ms`));
+        if (hasTimedOut) {
+            throw new RefusalError(createRefusal("peerStalled", `line incomplete after ${timeoutMs} ms`));
         }
         throw error;
     }
     finally {
-        stopStallTimer();
+        stopLineTimer();
     }
-    if (stalled) {
-        throw new RefusalError(createRefusal("peerStalled", `line unfinished after ${stallMs} ms`));
+    if (hasTimedOut) {
+        throw new RefusalError(createRefusal("peerStalled", `line incomplete after ${timeoutMs} ms`));
     }
 }
--- a/src/adapters/rpc/tcpPeer.ts
+++ b/src/adapters/rpc/tcpPeer.ts
@@ -1,4 +1,4 @@
-/** One connection to another process: JSON-RPC 2.0, a message a line, both sides calling and answering. */
+/** A connection to another process: bidirectional JSON-RPC 2.0 with one message per line. */
 import {
     createJSONRPCErrorResponse,
     createJSONRPCSuccessResponse,
@@ -13,60 +13,59 @@
 import { Peer, type PeerHandlers, type PeerIdentity, type PeerMethod } from "../../ports/peer.js";
 import { readLines } from "./lineReader.js";
 
-/** Most bytes that may wait to be written; a peer that reads slower than that is cut off. */
-export const MAX_WAITING_BYTES = 64 * 1024 * 1024;
+/** Limit on the bytes buffered for sending; a peer that exceeds it is disconnected. */
+export const MAX_SEND_BUFFER_BYTES = 64 * 1024 * 1024;
 
-/** How often a connection that somebody waits on is looked after. */
-const WATCH_PERIOD_MS = 500;
-/** A connection that somebody waits on is lost after this much silence, pings unanswered. */
-export const SILENCE_LIMIT_MS = 2_000;
-const PING = "peer.ping";
-const PONG = "peer.pong";
+const LIVENESS_CHECK_PERIOD_MS = 500;
+/** A connection in use is closed if nothing is received for this long, including replies to pings. */
+export const IDLE_TIMEOUT_MS = 2_000;
+const PING_METHOD = "peer.ping";
+const PONG_METHOD = "peer.pong";
 
-const noIdentity: PeerIdentity = { name: "", role: "operator", zone: "", incarnation: "" };
+const UNKNOWN_IDENTITY: PeerIdentity = { name: "", role: "operator", zone: "", incarnation: "" };
 
-/** Decides whether a call may be answered yet; used until the handshake is done. */
-export type CallGate = (method: string) => boolean;
+/** Whether a call to `method` is allowed; rejects other calls until the handshake is complete. */
+export type CallFilter = (method: string) => boolean;
 
 export class TcpPeer extends Peer {
-    override identity: PeerIdentity = noIdentity;
-    /** The refusal that closed the connection, where this side closed it. */
+    override identity: PeerIdentity = UNKNOWN_IDENTITY;
+    /** Why this side closed the connection; undefined if it closed without a refusal. */
     closedBy: Refusal | undefined;
     private readonly client: JSONRPCClient;
     private readonly server = new JSONRPCServer();
     private readonly closeHandlers = new Set<() => void>();
     private open = true;
     private pendingCalls = 0;
-    private lostHandler: () => void = () => undefined;
-    private receivedAt = performance.now();
-    private bytesSeen = 0;
+    private closeListener: () => void = () => undefined;
+    private lastReceivedAtMs = performance.now();
+    private lastBytesRead = 0;
     /**
-     * A call was given up and nothing has come since. The connection may have gone silent for good, which calls of 60 ms,
-     * each given up between two looks at it, would never show.
+     * Whether a call has timed out and nothing has been received since. Without it, calls that time out between two
+     * liveness checks would never cause a dead connection to be detected.
      */
-    private isSuspect = false;
-    private readonly watchTimer: NodeJS.Timeout;
+    private hasTimedOutCall = false;
+    private readonly livenessTimer: NodeJS.Timeout;
 
     constructor(
         private readonly socket: Socket,
         private readonly handlers: PeerHandlers,
-        private readonly gate: CallGate,
+        private readonly isCallAllowed: CallFilter,
     ) {
         super();
         socket.setNoDelay(true);
         this.client = new JSONRPCClient(request => this.sendMessage(request));
-        this.server.applyMiddleware(async (_next, request) => this.answer(request));
-        this.watchTimer = setInterval(() => this.watch(), WATCH_PERIOD_MS);
-        this.watchTimer.unref();
+        this.server.applyMiddleware(async (_next, request) => this.createResponse(request));
+        this.livenessTimer = setInterval(() => this.checkLiveness(), LIVENESS_CHECK_PERIOD_MS);
+        this.livenessTimer.unref();
     }
 
-    /** Reads the connection until it ends. This is the connection's one task. */
+    /** Reads and handles messages until the connection ends. */
     async run(): Promise<void> {
         try {
             for await (const line of readLines(this.socket)) {
-                this.receivedAt = performance.now();
-                this.isSuspect = false;
-                this.receive(line);
+                this.lastReceivedAtMs = performance.now();
+                this.hasTimedOutCall = false;
+                this.handleMessage(line);
             }
         }
         catch (error) {
@@ -84,17 +83,17 @@
         this.pendingCalls += 1;
         try {
             const timeoutRefusal = createRefusal("peerTimeout", method.name, "unknown");
-            const answer: unknown = await this.client
+            const result: unknown = await this.client
                 .timeout(
                     timeoutMs,
                     id => ({ jsonrpc: "2.0", id, error: { code: 0, message: "", data: timeoutRefusal } }),
                 )
                 .request(method.name, params as never);
-            return answer as R;
+            return result as R;
         }
         catch (error) {
             const refusal = getPeerRefusal(error, method.name);
-            this.isSuspect ||= refusal.code === "peerTimeout";
+            this.hasTimedOutCall ||= refusal.code === "peerTimeout";
             throw new RefusalError(refusal);
         }
         finally {
@@ -117,9 +116,9 @@
         return () => this.closeHandlers.delete(handler);
     }
 
-    /** Calls back when the connection is lost, without counting as somebody who waits on it. */
-    onLost(handler: () => void): void {
-        this.lostHandler = handler;
+    /** Sets a listener for the end of the connection. Unlike `onClose`, it does not make the connection count as in use. */
+    setCloseListener(handler: () => void): void {
+        this.closeListener = handler;
         if (!this.open) {
             handler();
         }
@@ -129,63 +128,63 @@
         return this.open;
     }
 
-    /** Closes the connection; calls without an answer yet end with peerGone. */
+    /** Closes the connection; pending calls reject with peerGone. */
     close(): void {
         if (!this.open) {
             return;
         }
         this.open = false;
-        clearInterval(this.watchTimer);
+        clearInterval(this.livenessTimer);
         this.socket.destroy();
         this.client.rejectAllPendingRequests("connection lost");
-        this.lostHandler();
+        this.closeListener();
         this.closeHandlers.forEach(handler => handler());
     }
 
     /**
-     * A connection can be cut without a sign. Where somebody waits on it, silence is first answered by a ping, then by
-     * closing it, so that whoever waits can turn elsewhere.
+     * Detects connections that are lost without a TCP close. A connection in use that is idle is pinged, and closed after
+     * IDLE_TIMEOUT_MS, so that pending calls fail over.
      */
-    private watch(): void {
-        // Bytes of a line that is not whole yet are a sign of life too: a long one takes seconds on a thin link.
-        if (this.socket.bytesRead > this.bytesSeen) {
-            this.bytesSeen = this.socket.bytesRead;
-            this.receivedAt = performance.now();
-        }
-        const isWaitedOn = this.pendingCalls > 0 || this.closeHandlers.size > 0 || this.isSuspect;
-        const silentMs = performance.now() - this.receivedAt;
-        if (!isWaitedOn) {
-            this.receivedAt = performance.now();
-        }
-        else if (silentMs > SILENCE_LIMIT_MS) {
-            this.closedBy = createRefusal("peerStalled", "silent", "unknown");
+    private checkLiveness(): void {
+        // Bytes of an incomplete line count as well: a long line takes seconds on a slow link.
+        if (this.socket.bytesRead > this.lastBytesRead) {
+            this.lastBytesRead = this.socket.bytesRead;
+            this.lastReceivedAtMs = performance.now();
+        }
+        const isInUse = this.pendingCalls > 0 || this.closeHandlers.size > 0 || this.hasTimedOutCall;
+        const idleMs = performance.now() - this.lastReceivedAtMs;
+        if (!isInUse) {
+            this.lastReceivedAtMs = performance.now();
+        }
+        else if (idleMs > IDLE_TIMEOUT_MS) {
+            this.closedBy = createRefusal("peerStalled", "connection idle", "unknown");
             this.close();
         }
-        else if (silentMs >= WATCH_PERIOD_MS) {
-            this.client.notify(PING, {});
+        else if (idleMs >= LIVENESS_CHECK_PERIOD_MS) {
+            this.client.notify(PING_METHOD, {});
         }
     }
 
-    private receive(line: string): void {
+    private handleMessage(line: string): void {
         let message: JSONRPCRequest | JSONRPCResponse;
         try {
             message = JSON.parse(line) as JSONRPCRequest | JSONRPCResponse;
         }
         catch {
-            throw new RefusalError(createRefusal("peerMalformed", "not JSON"));
+            throw new RefusalError(createRefusal("peerMalformed", "message is not valid JSON"));
         }
         if (message === null || typeof message !== "object" || message.jsonrpc !== "2.0") {
-            throw new RefusalError(createRefusal("peerMalformed", "not a JSON-RPC 2.0 message"));
+            throw new RefusalError(createRefusal("peerMalformed", "message is not JSON-RPC 2.0"));
         }
         if ("method" in message) {
-            if (message.method === PING) {
-                this.client.notify(PONG, {});
+            if (message.method === PING_METHOD) {
+                this.client.notify(PONG_METHOD, {});
             }
             else if (message.id === undefined) {
-                this.receiveNotification(message);
+                this.handleNotification(message);
             }
             else {
-                void this.receiveCall(message);
+                void this.handleCall(message);
             }
         }
         else {
@@ -193,24 +192,24 @@
         }
     }
 
-    /** Most of what arrives are the chunks of answers: they are handled without the machinery that an answer needs. */
-    private receiveNotification(message: JSONRPCRequest): void {
-        if (message.method !== PONG && this.gate(message.method)) {
-            // A notification that does not fit its schema is dropped; nobody waits for an answer to it.
+    /** Bypasses JSONRPCServer, because most messages are notifications with chunks of answers. */
+    private handleNotification(message: JSONRPCRequest): void {
+        if (message.method !== PONG_METHOD && this.isCallAllowed(message.method)) {
+            // An invalid notification is dropped, since it has no response.
             this.handlers.handle(message.method, message.params, this).catch(() => undefined);
         }
     }
 
-    private async receiveCall(request: JSONRPCRequest): Promise<void> {
+    private async handleCall(request: JSONRPCRequest): Promise<void> {
         const response = await this.server.receive(request);
         if (response) {
             this.sendMessage(response);
         }
     }
 
-    private async answer(request: JSONRPCRequest) {
+    private async createResponse(request: JSONRPCRequest) {
         try {
-            if (!this.gate(request.method)) {
+            if (!this.isCallAllowed(request.method)) {
                 throw new RefusalError(createRefusal("peerUntrusted", request.method));
             }
             const result = await this.handlers.handle(request.method, request.params, this);
@@ -230,8 +229,8 @@
             return;
         }
         this.socket.write(`${JSON.stringify(message)}\n`);
-        if (this.socket.writableLength > MAX_WAITING_BYTES) {
-            this.closedBy = createRefusal("peerStalled", "reads too slowly", "unknown");
+        if (this.socket.writableLength > MAX_SEND_BUFFER_BYTES) {
+            this.closedBy = createRefusal("peerStalled", "send buffer limit exceeded", "unknown");
             this.close();
         }
     }
--- a/src/ports/peer.ts
+++ b/src/ports/peer.ts
@@ -1,72 +1,71 @@
-/** Calls between the system's own processes. A method is a name, a schema for what is sent, and a type of answer. */
+/** RPC between the processes of the fleet. A method has a name, a schema for its parameters, and a result type. */
 import type * as z from "zod";
 import { createRefusal, RefusalError } from "../domain/resultCodes.js";
 
-/** A method of the protocol between processes. */
 export interface PeerMethod<P, R> {
     readonly name: string;
     readonly params: z.ZodType<P>;
-    /** Carries the answer's type only; never set. */
+    /** Carries the result type; never set. */
     readonly result?: R;
 }
 
-/** Declares a method. The answer's type is checked by the compiler, what is sent by its schema on arrival. */
+/** Declares a method. The receiver validates parameters by schema; the result type is only checked by the compiler. */
 export function createPeerMethod<P, R>(name: string, params: z.ZodType<P>): PeerMethod<P, R> {
     return { name, params };
 }
 
-/** Who is at the other end of a connection. */
+/** Identity of the process at the other end of a connection. */
 export interface PeerIdentity {
     readonly name: string;
     readonly role: "router" | "sidecar" | "controller" | "operator";
     readonly zone: string;
-    /** New at each start of the process. */
+    /** Unique to each start of the process. */
     readonly incarnation: string;
 }
 
-/** One connection to another process, whichever side opened it. */
+/** A connection to another process, opened by either side. */
 export abstract class Peer {
     abstract readonly identity: PeerIdentity;
-    /** Calls a method. Rejects with a RefusalError: peerGone or peerTimeout with `ran` unknown, or what the other refused with. */
+    /** Calls a method. Rejects with a RefusalError: peerGone or peerTimeout with `ran` "unknown", or the peer's refusal. */
     abstract call<P, R>(method: PeerMethod<P, R>, params: P, timeoutMs: number): Promise<R>;
-    /** Sends without an answer. Lost silently when the connection is lost. */
+    /** Sends a notification, which has no response. It is lost without an error if the connection is lost. */
     abstract notify<P>(method: PeerMethod<P, void>, params: P): void;
-    /** Calls back once, when the connection is lost. Answers a function that takes the handler back. */
+    /** Calls `handler` once, when the connection is lost. Returns a function that removes the handler. */
     abstract onClose(handler: () => void): () => void;
     abstract isOpen(): boolean;
 }
 
-/** Reaches other processes by address, opening connections as needed. */
+/** Connects to other processes by address. */
 export abstract class PeerNetwork {
-    /** A connection to `address`. Rejects with peerGone and `ran` "no" when none can be opened. */
+    /** Returns a connection to `address`. Rejects with peerGone and `ran` "no" if none can be opened. */
     abstract connect(address: string): Promise<Peer>;
 
     /**
-     * Connects and calls. `ran` is "no" in a refusal only where nothing was sent. `connectMs`: for the connection, where an
-     * answer may take longer. Milliseconds.
+     * Connects and calls `method`. In a refusal, `ran` is "no" only if nothing was sent. `connectTimeoutMs` limits the time
+     * to connect, where it differs from the time to respond.
      */
     async call<P, R>(
         address: string,
         method: PeerMethod<P, R>,
         params: P,
         timeoutMs: number,
-        connectMs = timeoutMs,
+        connectTimeoutMs = timeoutMs,
     ): Promise<R> {
-        const peer = await this.connectWithin(address, connectMs);
+        const peer = await this.connectWithTimeout(address, connectTimeoutMs);
         return peer.call(method, params, timeoutMs);
     }
 
-    /** A connection, or a refusal with `ran` "no" when there is none in time. */
-    private async connectWithin(address: string, timeoutMs: number): Promise<Peer> {
+    /** Like `connect`, but rejects with peerGone and `ran` "no" after `timeoutMs`. */
+    private async connectWithTimeout(address: string, timeoutMs: number): Promise<Peer> {
         let timer: NodeJS.Timeout | undefined;
-        const giveUp = new Promise<never>((_resolve, reject) => {
+        const timeout = new Promise<never>((_resolve, reject) => {
             timer = setTimeout(
-                () => reject(new RefusalError(createRefusal("peerGone", `no connection to ${address} in time`))),
+                () => reject(new RefusalError(createRefusal("peerGone", `timed out connecting to ${address}`))),
                 timeoutMs,
             );
         });
         try {
-            return await Promise.race([this.connect(address), giveUp]);
+            return await Promise.race([this.connect(address), timeout]);
         }
         finally {
             clearTimeout(timer);
@@ -76,14 +75,14 @@
 
 type UntypedHandler = (params: unknown, peer: Peer) => Promise<unknown>;
 
-/** The methods a process answers to. */
+/** Dispatches calls to the handlers of a process. */
 export class PeerHandlers {
     private readonly handlers = new Map<string, UntypedHandler>();
 
-    /** `onHandle`: called for each call, before it is handled. */
+    /** `onHandle` is called before each call is handled. */
     constructor(private readonly onHandle: () => void = () => undefined) {}
 
-    /** Answers `method` by `handler`, which sees only what fits the schema. */
+    /** Registers `handler` for `method`. Parameters that violate the schema are rejected before it is called. */
     add<P, R>(method: PeerMethod<P, R>, handler: (params: P, peer: Peer) => Promise<R> | R): void {
         this.handlers.set(method.name, async (params, peer) => {
             const parsed = method.params.safeParse(params);
@@ -96,7 +95,6 @@
         });
     }
 
-    /** Runs the handler of a method. */
     async handle(name: string, params: unknown, peer: Peer): Promise<unknown> {
         this.onHandle();
         const handler = this.handlers.get(name);
