--- a/src/adapters/upstream/httpUpstream.ts
+++ b/src/adapters/upstream/httpUpstream.ts
@@ -1,4 +1,4 @@
-/** An upstream over HTTP: chat completions with server-sent events, and plain calls. */
+/** Client of an upstream over HTTP: chat completions with server-sent events, and plain calls. */
 import { type Dispatcher, errors, Pool } from "undici";
 import { createRefusal, RefusalError } from "../../domain/resultCodes.js";
 import { type ChatRequest, type PlainRequest, UpstreamClient, type UpstreamEvent } from "../../ports/upstream.js";
@@ -8,13 +8,12 @@
 
 const CONNECT_TIMEOUT_MS = 1_000;
 const HEADERS_TIMEOUT_MS = 60_000;
-/** Longest silence inside an answer. */
-const BODY_TIMEOUT_MS = 30_000;
+const BODY_IDLE_TIMEOUT_MS = 30_000;
 const ORDER_TIMEOUT_MS = 10_000;
-const MAX_ERROR_LENGTH = 300;
-const RETRY_AFTER_MS = 500;
+const MAX_ERROR_DETAIL_LENGTH = 300;
+const DEFAULT_RETRY_AFTER_MS = 500;
 
-const CODES_NOT_SENT = new Set([
+const NOT_SENT_ERROR_CODES = new Set([
     "UND_ERR_CONNECT_TIMEOUT",
     "ECONNREFUSED",
     "EHOSTUNREACH",
@@ -40,7 +39,7 @@
             connections,
             connect: { timeout: CONNECT_TIMEOUT_MS },
             headersTimeout: HEADERS_TIMEOUT_MS,
-            bodyTimeout: BODY_TIMEOUT_MS,
+            bodyTimeout: BODY_IDLE_TIMEOUT_MS,
         });
     }
 
@@ -63,12 +62,12 @@
             signal,
         });
         if (response.statusCode !== 200) {
-            throw await createStatusError(response, this.receiveRest(response));
+            throw await createStatusError(response, this.handleRetryAfter(response));
         }
-        let finished = false;
+        let isComplete = false;
         try {
             for await (const events of readServerSentEvents(response.body)) {
-                finished ||= events.includes("[DONE]");
+                isComplete ||= events.includes("[DONE]");
                 const event = parseChatEvents(events);
                 if (event !== undefined) {
                     yield event;
@@ -76,10 +75,10 @@
             }
         }
         catch (error) {
-            throw getStreamError(error, "yes");
+            throw convertToRefusalError(error, "yes");
         }
-        if (!finished) {
-            throw new RefusalError(createRefusal("upstreamFailed", "the answer broke off", "yes"));
+        if (!isComplete) {
+            throw new RefusalError(createRefusal("upstreamFailed", "event stream ended before [DONE]", "yes"));
         }
     }
 
@@ -95,15 +94,15 @@
             body: request.body === "" ? null : Buffer.from(request.body, "base64"),
             signal,
         });
-        this.receiveRest(response);
-        yield { pieces: [{ status: response.statusCode, headers: getPlainHeaders(response.headers) }] };
+        this.handleRetryAfter(response);
+        yield { pieces: [{ status: response.statusCode, headers: getForwardedHeaders(response.headers) }] };
         try {
             for await (const bytes of response.body as AsyncIterable<Buffer>) {
                 yield { pieces: [{ data: bytes.toString("base64") }] };
             }
         }
         catch (error) {
-            throw getStreamError(error, "yes");
+            throw convertToRefusalError(error, "yes");
         }
     }
 
@@ -121,15 +120,15 @@
         await response.body.dump();
     }
 
-    /** Tells who listens where the upstream asks for rest; answers for how long, in milliseconds. */
-    private receiveRest({ statusCode, headers }: Dispatcher.ResponseData): number | undefined {
-        const said = headers["retry-after"];
-        if (typeof said !== "string" || !isTurnedAway(statusCode)) {
+    /** Reports a Retry-After header to the listener and returns its delay in milliseconds, if there is a valid one. */
+    private handleRetryAfter({ statusCode, headers }: Dispatcher.ResponseData): number | undefined {
+        const headerValue = headers["retry-after"];
+        if (typeof headerValue !== "string" || !isTurnedAway(statusCode)) {
             return undefined;
         }
-        const restMs = tryParseRetryAfterMs(said, Date.now());
-        this.noteRest({ restMs, said });
-        return restMs;
+        const retryAfterMs = tryParseRetryAfterMs(headerValue, Date.now());
+        this.notifyRetryAfter({ restMs: retryAfterMs, said: headerValue });
+        return retryAfterMs;
     }
 
     private async send(options: Dispatcher.RequestOptions): Promise<Dispatcher.ResponseData> {
@@ -137,38 +136,40 @@
             return await this.pool.request(options);
         }
         catch (error) {
-            throw getStreamError(error, isCertainlyNotSent(error) ? "no" : "unknown");
+            throw convertToRefusalError(error, isNotSentError(error) ? "no" : "unknown");
         }
     }
 }
 
-function isCertainlyNotSent(error: unknown): boolean {
-    return CODES_NOT_SENT.has((error as { code?: string; }).code ?? "");
+function isNotSentError(error: unknown): boolean {
+    return NOT_SENT_ERROR_CODES.has((error as { code?: string; }).code ?? "");
 }
 
-function getStreamError(error: unknown, ran: "no" | "unknown" | "yes"): RefusalError {
+function convertToRefusalError(error: unknown, ran: "no" | "unknown" | "yes"): RefusalError {
     if (error instanceof RefusalError) {
         return error;
     }
     if (error instanceof errors.RequestAbortedError || (error as Error).name === "AbortError") {
         return new RefusalError(createRefusal("runCancelled", undefined, ran));
     }
-    return new RefusalError(createRefusal("upstreamFailed", (error as Error).message, ran, RETRY_AFTER_MS));
+    return new RefusalError(createRefusal("upstreamFailed", (error as Error).message, ran, DEFAULT_RETRY_AFTER_MS));
 }
 
-/** `restMs`: what the upstream asked for; undefined where it asked for nothing. */
-async function createStatusError(response: Dispatcher.ResponseData, restMs?: number): Promise<RefusalError> {
-    const text = (await response.body.text()).slice(0, MAX_ERROR_LENGTH);
+/** `retryAfterMs`: the delay that the upstream requested, if any. */
+async function createStatusError(response: Dispatcher.ResponseData, retryAfterMs?: number): Promise<RefusalError> {
+    const text = (await response.body.text()).slice(0, MAX_ERROR_DETAIL_LENGTH);
     const detail = `${response.statusCode} ${text}`;
     if (response.statusCode >= 500 || response.statusCode === 429) {
-        return new RefusalError(createRefusal("upstreamFailed", detail, "unknown", restMs ?? RETRY_AFTER_MS));
+        return new RefusalError(
+            createRefusal("upstreamFailed", detail, "unknown", retryAfterMs ?? DEFAULT_RETRY_AFTER_MS),
+        );
     }
     return new RefusalError(createRefusal("upstreamRefused", detail, "no"));
 }
 
 /**
- * The body an engine gets: always streamed, always capped. A run that continues another gives the text so far as the
- * beginning of the answer (`continue_final_message`, as engines that can resume a stream publish it).
+ * Creates the body for the engine, which always streams and limits the output. A run that resumes another passes the text
+ * so far as the beginning of the answer (`continue_final_message`).
  */
 function createChatBody(request: ChatRequest, outputCap: number, priority: number): Record<string, unknown> {
     const body: Record<string, unknown> = {
@@ -216,15 +217,15 @@
     return { pieces, promptTokens, outputTokens };
 }
 
-const PLAIN_HEADERS = ["content-type", "etag", "last-modified", "cache-control", "location"];
+const FORWARDED_RESPONSE_HEADERS = ["content-type", "etag", "last-modified", "cache-control", "location"];
 
-function getPlainHeaders(headers: Record<string, string | string[] | undefined>): Record<string, string> {
-    const kept: Record<string, string> = {};
-    for (const name of PLAIN_HEADERS) {
+function getForwardedHeaders(headers: Record<string, string | string[] | undefined>): Record<string, string> {
+    const forwarded: Record<string, string> = {};
+    for (const name of FORWARDED_RESPONSE_HEADERS) {
         const value = headers[name];
         if (typeof value === "string") {
-            kept[name] = value;
+            forwarded[name] = value;
         }
     }
-    return kept;
+    return forwarded;
 }
--- a/src/adapters/upstream/sseReader.ts
+++ b/src/adapters/upstream/sseReader.ts
@@ -1,26 +1,26 @@
-/** Reads server-sent events off a byte stream: the data lines of as many whole events as each read brings. */
+/** Parses server-sent events from a byte stream. */
 
-/** Longest event taken, in characters. */
+/** Limit on the length of an event, in characters. */
 const MAX_EVENT_LENGTH = 1024 * 1024;
 
-/** Yields the data of the events that each read completes. */
+/** Yields, for each read, the data of the events that it completes. */
 export async function* readServerSentEvents(body: AsyncIterable<Buffer>): AsyncGenerator<string[]> {
     const decoder = new TextDecoder();
-    let rest = "";
+    let pending = "";
     for await (const bytes of body) {
-        rest += decoder.decode(bytes, { stream: true });
+        pending += decoder.decode(bytes, { stream: true });
         const events: string[] = [];
-        let end = rest.indexOf("\n\n");
+        let end = pending.indexOf("\n\n");
         while (end >= 0) {
-            const data = getEventData(rest.slice(0, end));
+            const data = getEventData(pending.slice(0, end));
             if (data !== undefined) {
                 events.push(data);
             }
-            rest = rest.slice(end + 2);
-            end = rest.indexOf("\n\n");
+            pending = pending.slice(end + 2);
+            end = pending.indexOf("\n\n");
         }
-        if (rest.length > MAX_EVENT_LENGTH) {
-            throw new Error("server-sent event too long");
+        if (pending.length > MAX_EVENT_LENGTH) {
+            throw new Error("server-sent event exceeds the length limit");
         }
         if (events.length > 0) {
             yield events;
--- a/src/ports/upstream.ts
+++ b/src/ports/upstream.ts
@@ -1,47 +1,46 @@
-/** What stands behind a sidecar: a model engine or a plain service. */
+/** The upstream of a sidecar: a model engine or a plain service. */
 import type { AnswerPiece, EngineOrder, StartRunParams } from "../protocol/runMethods.js";
 
 type RunRequest = StartRunParams["request"];
 export type ChatRequest = Extract<RunRequest, { type: "chat"; }>;
 export type PlainRequest = Extract<RunRequest, { type: "plain"; }>;
 
-/** What came from an upstream in one go. */
+/** The pieces of an answer that an upstream sent together. */
 export interface UpstreamEvent {
     readonly pieces: AnswerPiece[];
-    /** The engine's own counts, where it tells them. Tokens. */
+    /** Token counts reported by the engine, if any. */
     readonly promptTokens?: number | undefined;
     readonly outputTokens?: number | undefined;
 }
 
-/** A wish of an upstream that has turned a request away. */
+/** The Retry-After header of an upstream that rejected a request. */
 export interface AskedRest {
-    /** How long it wants nothing more, in milliseconds; undefined where what it said cannot be read. */
+    /** Requested delay in milliseconds; undefined if the header is invalid. */
     readonly restMs: number | undefined;
-    /** What it said. */
+    /** The header as received. */
     readonly said: string;
 }
 
-/** How loaded an engine says it is; late. */
+/** Load reported by an engine, with a delay. */
 export interface EngineLoad {
     readonly running: number;
     readonly waiting: number;
 }
 
-/** Runs requests at one upstream. Failures are RefusalErrors whose `ran` says whether the upstream may have run it. */
+/** Runs requests on an upstream. Fails with RefusalErrors whose `ran` says whether the upstream may have run the request. */
 export abstract class UpstreamClient {
-    private restListener: (rest: AskedRest) => void = () => undefined;
+    private retryAfterListener: (rest: AskedRest) => void = () => undefined;
 
-    /** Has `listener` told whenever the upstream turns a request away and asks for rest. */
+    /** Calls `listener` whenever the upstream rejects a request with Retry-After. */
     onRest(listener: (rest: AskedRest) => void): void {
-        this.restListener = listener;
+        this.retryAfterListener = listener;
     }
 
-    /** Tells who listens of a rest. */
-    protected noteRest(rest: AskedRest): void {
-        this.restListener(rest);
+    protected notifyRetryAfter(rest: AskedRest): void {
+        this.retryAfterListener(rest);
     }
 
-    /** Streams a chat answer. Ends when the answer is whole; throws otherwise. `priority`: lower goes first. */
+    /** Streams a chat answer until it is complete; throws if it is not. A lower `priority` runs first. */
     abstract runChat(
         request: ChatRequest,
         requestId: string,
@@ -49,8 +48,7 @@
         priority: number,
         signal: AbortSignal,
     ): AsyncGenerator<UpstreamEvent>;
-    /** Passes a plain call through. */
+    /** Passes a plain HTTP call through. */
     abstract runPlain(request: PlainRequest, requestId: string, signal: AbortSignal): AsyncGenerator<UpstreamEvent>;
-    /** Gives the engine an order. */
     abstract giveOrder(order: EngineOrder): Promise<void>;
 }
