--- a/src/ports/answerSink.ts
+++ b/src/ports/answerSink.ts
@@ -1,22 +1,22 @@
-/** Where the answer to a caller's request goes. */
+/** Destination of the answer to a caller's request. */
 import type { Refusal } from "../domain/resultCodes.js";
 
 export abstract class PassThroughSink {
     /**
-     * Sends an upstream's head unchanged. An answer that is not framed is not framed here either: nobody can say whether
-     * it was whole, so it must not be made to look so.
+     * Sends the upstream's status and headers unchanged. An answer without framing (`isFramed` false) is sent without
+     * framing too, because its completeness is unknown and must not be asserted.
      */
     abstract sendHead(status: number, headers: readonly string[], isFramed: boolean): void;
-    /** Sends bytes of the body; answers false where the caller reads too slowly, until `onDrain`. */
+    /** Sends bytes of the body. Returns false if the caller reads too slowly; `onDrain` then signals when to continue. */
     abstract write(bytes: Buffer): boolean;
-    /** Ends an answer that is whole. */
+    /** Ends a complete answer. */
     abstract end(): void;
-    /** Breaks off an answer that is not whole, so that the caller can tell. */
+    /** Aborts an incomplete answer, so that the caller can detect the truncation. */
     abstract breakOff(): void;
-    /** Answers by a refusal of the router's own. */
+    /** Answers with a refusal by the router itself. */
     abstract refuse(refusal: Refusal): void;
-    /** Calls back whenever the caller has read what was waiting. */
+    /** Calls `handler` each time the send buffer has drained. */
     abstract onDrain(handler: () => void): void;
-    /** Calls back once if the caller goes away before the answer has ended. */
+    /** Calls `handler` once if the caller disconnects before the answer has ended. */
     abstract onGone(handler: () => void): void;
 }
--- a/src/ports/audit.ts
+++ b/src/ports/audit.ts
@@ -1,8 +1,8 @@
-/** One line of the audit trail: who changed what, when, and what came of it. */
+/** An entry of the audit log: who changed what, when, and with which outcome. */
 export interface AuditRecord {
-    /** Index in the replicated log; 0 for a change that was refused before it got there. */
+    /** Index in the replicated log; 0 for a change that was rejected before it was appended. */
     readonly index: number;
-    /** Wall clock, milliseconds since 1970. */
+    /** Wall-clock time, in milliseconds since the Unix epoch. */
     readonly at: number;
     readonly operator: string;
     readonly operationId: string;
--- a/src/ports/bundleDecoder.ts
+++ b/src/ports/bundleDecoder.ts
@@ -1,10 +1,10 @@
-/** Reads the text of a declared bundle, whose format is the operator's. */
+/** Parses the text of a declared bundle, whose format the operator defines. */
 import type { Bundle } from "../domain/bundle.js";
 
 export abstract class BundleDecoder {
     /**
-     * The bundle in `text`. Rejects with malformedBody where it cannot be read at all, objectInvalid where it does not fit
-     * its format or its parts do not fit together. Lets the event loop go on between parts of a large one.
+     * Parses the bundle in `text`. Rejects with malformedBody if `text` has a syntax error, and with objectInvalid if it
+     * violates the format or is inconsistent. Yields to the event loop while it parses a large bundle.
      */
     abstract decode(text: string): Promise<Bundle>;
 }
--- a/src/ports/clock.ts
+++ b/src/ports/clock.ts
@@ -1,17 +1,15 @@
-/** Time as the decisions see it. Tests put a clock of their own here. */
+/** Time source of the domain logic; tests inject a fake one. */
 export abstract class Clock {
-    /** Milliseconds on a clock that never steps; only differences mean anything. */
+    /** Monotonic time in milliseconds; only differences are meaningful. */
     abstract getMonotonicMs(): number;
     /**
-     * Milliseconds since 1970 as the box has it: differs from box to box and may step. For people to read; where a
-     * process of before is to be measured, together with the clocks of other boxes.
+     * Milliseconds since the Unix epoch by the box's clock, which differs between boxes and may step. Only for display, or
+     * to measure time across a restart together with the clocks of other boxes.
      */
     abstract getWallMs(): number;
-    /** Resolves after `ms` milliseconds. */
     abstract wait(ms: number): Promise<void>;
 }
 
-/** The machine's clocks. */
 export class SystemClock extends Clock {
     override getMonotonicMs(): number {
         return performance.now();
--- a/src/ports/directUpstream.ts
+++ b/src/ports/directUpstream.ts
@@ -1,98 +1,98 @@
-/** How a router reaches upstreams itself: one request, passed on byte for byte, and what came of it. */
+/** Port through which a router sends requests to upstreams and passes them on byte for byte. */
 import type { UpstreamRegistration } from "../domain/upstreamRegistry.js";
 import type { UpstreamSignals } from "../domain/upstreamSignals.js";
 
-/** A caller's request as it is passed on. */
+/** A caller's request as it is forwarded. */
 export interface PassedRequest {
-    /** The caller's own id of this attempt. */
+    /** Id of this attempt, set by the caller. */
     readonly id: string;
     readonly method: string;
-    /** Path and query, as the caller sent them. */
+    /** Path and query as received. */
     readonly target: string;
-    /** Names and values by turns, as the caller sent them, but for what concerns its connection only. */
+    /** Alternating names and values as received, without hop-by-hop headers. */
     readonly headers: readonly string[];
     readonly body: Buffer;
 }
 
-/** One sending of a request to one upstream. */
+/** One attempt to send a request to an upstream. */
 export interface UpstreamCall {
     readonly upstream: UpstreamRegistration;
     readonly request: PassedRequest;
-    /** Client account on whose behalf it runs; undefined on public routes. */
+    /** Client account that the request runs for; undefined on public routes. */
     readonly account: string | undefined;
-    /** Time that is left to it, in milliseconds. */
+    /** Time left until the deadline, in milliseconds. */
     readonly remainingMs: number;
-    /** 0 is the most urgent, 9 the least. */
+    /** From 0, the most urgent, to 9, the least. */
     readonly priority: number;
-    /** Where an interrupted stream goes on; undefined for what the caller itself asked for. */
+    /** Position after which an interrupted stream resumes; undefined for the caller's original request. */
     readonly resumeAfter: string | undefined;
-    /** Connections that this process may hold to the upstream. */
+    /** Limit on the connections of this process to the upstream. */
     readonly maxConnections: number;
-    /** Asked when there is a connection for the request, which may have waited for one: false where it is not to be sent now. */
+    /** Called when a connection is available, possibly after a wait. The request is not sent if it returns false. */
     readonly mayStart: () => boolean;
 }
 
-/** The head of an upstream's answer. */
+/** Status and headers of an upstream's response, with what they say about it. */
 export interface UpstreamHead {
     readonly status: number;
-    /** Names and values by turns, but for what concerns the upstream's connection only. */
+    /** Alternating names and values, without hop-by-hop headers. */
     readonly headers: readonly string[];
-    /** The upstream says that it has not run the request and never will. */
+    /** The upstream states that it has not run the request and will not run it. */
     readonly isNotRun: boolean;
-    /** Another upstream answers at the address; the one that was to run the request is not there any more. */
+    /** Another upstream now answers at the address in place of the intended one. */
     readonly isFromAnother: boolean;
-    /** It answers to the request it was sent; false for a stray answer to another one. */
+    /** Whether the response belongs to this request; false for a stray response to another one. */
     readonly isOwn: boolean;
-    /** An engine vouches for the answer. */
+    /** Whether the response carries an engine's signature. */
     readonly isSigned: boolean;
-    /** The answer itself says where it ends; otherwise it ends with its connection, also when it was cut short. */
+    /** Whether the response delimits its body; otherwise it ends when the connection closes, even if it is truncated. */
     readonly isFramed: boolean;
-    /** What the upstream says of its own state. */
+    /** The upstream's report of its own state. */
     readonly signals: UpstreamSignals;
 }
 
-/** Why an answer did not come, or did not come whole. */
+/** Why a response is missing or incomplete. */
 export interface UpstreamFailure {
-    /** False where nothing of the request was sent, so that it certainly has not run. */
+    /** False if no byte of the request was sent, so that it cannot have run. */
     readonly wasSent: boolean;
-    /** It was not sent because `mayStart` said so; the upstream is not at fault. */
+    /** Whether the request was not sent because `mayStart` returned false, which is no fault of the upstream. */
     readonly isWithheld: boolean;
     readonly reason: string;
 }
 
-/** Told of an answer as it arrives. After `onEnd` or `onFailure` nothing more comes. */
+/** Receives a response as it arrives. `onEnd` or `onFailure` is the last call. */
 export interface UpstreamListener {
-    /** There is a connection, and the request is being sent. Until then it certainly has not run. */
+    /** A connection is available and the request is being sent. Before this call it cannot have run. */
     onStart(): void;
-    /** Answers false to have the answer dropped; nothing more is told of it then. */
+    /** Returns false to discard the response; no further calls follow. */
     onHead(head: UpstreamHead): boolean;
-    /** Answers false to have the upstream held up until `resume`. */
+    /** Returns false to pause reading until `resume`. */
     onData(bytes: Buffer): boolean;
     onEnd(): void;
     onFailure(failure: UpstreamFailure): void;
 }
 
-/** A sending that is under way. */
+/** A request in progress. */
 export interface UpstreamExchange {
-    /** Goes on reading after `onData` answered false. */
+    /** Continues reading after `onData` returned false. */
     resume(): void;
-    /** Breaks off: the connection is closed, so that the upstream drops the request. Nothing more is told. */
+    /** Closes the connection, so that the upstream drops the request. The listener is not called again. */
     cancel(): void;
 }
 
-/** The connections of a router to its upstreams. */
+/** A router's connections to its upstreams. */
 export abstract class DirectUpstreams {
-    /** Sends a request; `listener` is told of the answer. Never throws. */
+    /** Sends a request and reports the response to `listener`. Never throws. */
     abstract send(call: UpstreamCall, listener: UpstreamListener): UpstreamExchange;
-    /** Closes the connections to addresses that are not in `known`, once they are idle. */
+    /** Closes connections to addresses that are not in `known` once they are idle. */
     abstract forgetExcept(known: ReadonlySet<string>): void;
-    /** Has what is sent to an address from now on go over new connections; those to it are closed once they are idle. */
+    /** Uses new connections for later requests to an address and closes the existing ones once they are idle. */
     abstract forget(address: string): void;
     /**
-     * Whether a process listens at an address: false where a connection to it is refused, undefined where nobody can say.
-     * Nothing is sent. Never rejects.
+     * Whether a process is listening at an address: false if a connection is refused, undefined if that cannot be
+     * determined. Sends nothing. Never rejects.
      */
     abstract isListening(address: string): Promise<boolean | undefined>;
-    /** Closes every connection, also those in use. */
+    /** Closes all connections, including those in use. */
     abstract close(): void;
 }
--- a/src/ports/membership.ts
+++ b/src/ports/membership.ts
@@ -1,15 +1,15 @@
-/** The platform's list of boxes. It lags: a box may have left long before the list says so. */
+/** The platform's list of boxes. It is delayed: a box may have left long before the list shows it. */
 export interface BoxList {
     readonly leaving: readonly string[];
     readonly gone: readonly string[];
 }
 
 export abstract class MembershipSource {
-    /** Reads the list. Rejects when the platform does not answer. */
+    /** Fetches the list. Rejects if the platform does not respond. */
     abstract read(): Promise<BoxList>;
 }
 
-/** For deployments whose platform has no list. */
+/** For deployments without a membership list. */
 export class NoMembership extends MembershipSource {
     override read(): Promise<BoxList> {
         return Promise.resolve({ leaving: [], gone: [] });
--- a/src/ports/metrics.ts
+++ b/src/ports/metrics.ts
@@ -1,4 +1,4 @@
-/** Counters, gauges and timings; names are listed in docs/METRICS.md. */
+/** Counters, gauges and timings; docs/METRICS.md lists the names. */
 export abstract class Metrics {
     abstract addCount(name: string, by?: number): void;
     abstract setGauge(name: string, value: number): void;
@@ -6,7 +6,7 @@
     abstract close(): void;
 }
 
-/** Drops everything: for tests and for roles with no metrics address set. */
+/** Discards all metrics; for tests and for processes without a metrics address. */
 export class NoMetrics extends Metrics {
     override addCount(): void {}
     override setGauge(): void {}
