--- a/src/protocol/bundleTransfer.ts
+++ b/src/protocol/bundleTransfer.ts
@@ -1,7 +1,4 @@
-/**
- * How a bundle's text travels to routers: whole, or as its change from one that the router has, and compressed. A text of
- * 1,700 routes is 0.4 MB long; compressed it is about a tenth of that, and the change of one route some hundred bytes.
- */
+/** Compressed transfer of a bundle's text to routers, either in full or as a delta from a revision that the router has. */
 import { promisify } from "node:util";
 import { deflateRaw, inflateRawSync } from "node:zlib";
 import * as z from "zod";
@@ -12,52 +9,51 @@
 
 const deflate = promisify(deflateRaw);
 
-/** Most bytes that are unpacked: every character of the longest text in four bytes. */
-const MAX_UNPACKED_BYTES = 4 * MAX_BUNDLE_LENGTH;
+/** UTF-8 takes at most four bytes per character. */
+const MAX_INFLATED_BYTES = 4 * MAX_BUNDLE_LENGTH;
 
-const count = z.int().min(0);
+const nonNegativeInt = z.int().min(0);
 
-/** A bundle on its way. */
 export const encodedBundleSchema = z.object({
-    revision: count,
-    /** Revision of the bundle that `packed` is a change from; left out where it is the whole text. */
-    base: count.optional(),
-    /** Length of the text, in characters: a change that was made from another text is noticed by it. */
-    length: count,
-    /** The text, or its change as JSON, in raw deflate and base64. */
+    revision: nonNegativeInt,
+    /** Revision that `packed` is a delta from; omitted if it is the full text. */
+    base: nonNegativeInt.optional(),
+    /** Length of the text in characters, to detect a delta that was applied to the wrong text. */
+    length: nonNegativeInt,
+    /** The text, or the delta as JSON, compressed with raw deflate and encoded in base64. */
     packed: z.string(),
 });
 export type EncodedBundle = z.infer<typeof encodedBundleSchema>;
 
-/** Makes a bundle ready to be sent to a router that has `base`, or none. */
+/** Encodes a bundle as a delta from `base`, or in full without one. */
 export async function encodeBundle(bundle: StoredBundle, base: StoredBundle | undefined): Promise<EncodedBundle> {
     const content = base === undefined ? bundle.text : JSON.stringify(computeTextChange(base.text, bundle.text));
     const packed = (await deflate(content)).toString("base64");
     return { revision: bundle.revision, base: base?.revision, length: bundle.text.length, packed };
 }
 
-/** Reads a bundle that was sent to a router which has `held`. Throws peerMalformed. */
+/** Decodes a bundle; `held` is the one that the router has. Throws peerMalformed. */
 export function decodeBundle(answer: unknown, held: StoredBundle | undefined): StoredBundle {
     const parsed = encodedBundleSchema.safeParse(answer);
     if (!parsed.success) {
-        throw createMalformed(parsed.error.issues[0]!.message);
+        throw createMalformedError(parsed.error.issues[0]!.message);
     }
     const { revision, base, length, packed } = parsed.data;
-    const content = inflateRawSync(Buffer.from(packed, "base64"), { maxOutputLength: MAX_UNPACKED_BYTES }).toString();
+    const content = inflateRawSync(Buffer.from(packed, "base64"), { maxOutputLength: MAX_INFLATED_BYTES }).toString();
     const text = base === undefined ? content : applyChange(content, base, held);
     if (text.length !== length) {
-        throw createMalformed(`${text.length} characters instead of ${length}`);
+        throw createMalformedError(`decoded to ${text.length} characters, expected ${length}`);
     }
     return { revision, text };
 }
 
 function applyChange(content: string, base: number, held: StoredBundle | undefined): string {
     if (held?.revision !== base) {
-        throw createMalformed(`a change from revision ${base}`);
+        throw createMalformedError(`delta from revision ${base}, which is not held`);
     }
     return applyTextChange(held.text, textChangeSchema.parse(JSON.parse(content)));
 }
 
-function createMalformed(detail: string): RefusalError {
+function createMalformedError(detail: string): RefusalError {
     return new RefusalError(createRefusal("peerMalformed", `bundle: ${detail}`));
 }
--- a/src/protocol/configMethods.ts
+++ b/src/protocol/configMethods.ts
@@ -1,27 +1,27 @@
-/** How the declared configuration reaches the daemons, and how they say what they run. */
+/** RPC methods that distribute the declared configuration to daemons and report their state. */
 import * as z from "zod";
 import type { ObjectChange } from "../domain/objects.js";
 import { createPeerMethod } from "../ports/peer.js";
 
-/** What a controller sends first and after each change. */
+/** Sent by a controller on subscription and after each change. */
 export interface ConfigUpdate {
-    /** "snapshot": `changes` is everything there is; "changes": what came after the subscriber's revision. */
+    /** "snapshot": `changes` holds all objects. "changes": it holds the changes after the revision `from`. */
     readonly type: "snapshot" | "changes";
     readonly changes: readonly ObjectChange[];
-    /** Revision that `changes` starts after; a daemon that is not there yet must not take them. 0 for a snapshot. */
+    /** Revision that `changes` applies to; a daemon at a lower revision must not apply them. 0 for a snapshot. */
     readonly from: number;
-    /** Revision the daemon is at once these are applied. */
+    /** Revision after `changes` are applied. */
     readonly revision: number;
-    /** Whether the controller is connected to a majority, so that this is the newest there is. */
+    /** Whether the controller is connected to a majority, so that this is the latest revision. */
     readonly confirmed: boolean;
-    /** Term of the log as the controller knows it, for the fencing of orders. */
+    /** The controller's current term of the log, for the fencing of orders. */
     readonly term: number;
 }
 
 const subscribeSchema = z.object({
-    /** Revision the daemon has; 0 for none. */
+    /** The daemon's revision; 0 for none. */
     revision: z.int().min(0),
-    /** Where the daemon's peer listener is reached; empty where it has none. */
+    /** Address of the daemon's peer listener; empty if it has none. */
     address: z.string().max(128),
 });
 export const subscribeMethod = createPeerMethod<z.infer<typeof subscribeSchema>, ConfigUpdate>(
@@ -42,20 +42,20 @@
     updateSchema as unknown as z.ZodType<ConfigUpdate>,
 );
 
-/** What the platform's list says of boxes, sent whole when it changes. Boxes that are neither are live. */
+/** Boxes that are leaving or gone by the platform's list; all others are live. Sent in full when the list changes. */
 const membershipSchema = z.object({ leaving: z.array(z.string()), gone: z.array(z.string()) });
 export type MembershipUpdate = z.infer<typeof membershipSchema>;
 export const membershipMethod = createPeerMethod<MembershipUpdate, void>("config.membership", membershipSchema);
 
 const reportSchema = z.object({
     revision: z.int().min(0),
-    /** Numbers worth a glance, by name. */
+    /** Status values by name. */
     figures: z.record(z.string(), z.number()),
 });
-/** A daemon's state, sent when its revision changes and now and then in between. */
+/** A daemon's state, sent when its revision changes and periodically. */
 export const reportMethod = createPeerMethod<z.infer<typeof reportSchema>, void>("config.report", reportSchema);
 
-/** One daemon as its controller last heard of it. */
+/** Last known state of a daemon. */
 export interface DaemonStatus {
     readonly name: string;
     readonly role: string;
@@ -63,12 +63,12 @@
     readonly incarnation: string;
     readonly address: string;
     readonly revision: number;
-    /** Milliseconds since it was last heard. */
+    /** Milliseconds since the last message from it. */
     readonly silentMs: number;
     readonly figures: Readonly<Record<string, number>>;
 }
 
-/** One controller's own part of the status. */
+/** One controller's part of the fleet status. */
 export interface ControllerStatus {
     readonly name: string;
     readonly zone: string;
@@ -81,7 +81,7 @@
     readonly ledger: LedgerStatus | undefined;
 }
 
-/** A ledger's balances by budget. Tokens. */
+/** A ledger's balances by budget, in tokens. */
 export interface LedgerStatus {
     readonly ledger: string;
     readonly overspent: number;
--- a/src/protocol/fleetMethods.ts
+++ b/src/protocol/fleetMethods.ts
@@ -1,4 +1,4 @@
-/** What routers and controllers say to each other where an operator declares bundles and upstreams register themselves. */
+/** RPC methods between routers and controllers in fleets with declared bundles and self-registering upstreams. */
 import * as z from "zod";
 import { type PrepaidReportCommand, prepaidReportCommand } from "../domain/bundleCommands.js";
 import type { EvacuationList } from "../domain/evacuationBook.js";
@@ -16,209 +16,211 @@
 import { createPeerMethod } from "../ports/peer.js";
 import type { EncodedBundle } from "./bundleTransfer.js";
 
-const name = z.string().max(128);
-const count = z.int().min(0);
+const shortName = z.string().max(128);
+const nonNegativeInt = z.int().min(0);
 
-/** Most upstreams that one report says have ended. */
+/** Maximum number of upstreams in one end report. */
 export const MOST_REPORTED_ENDS = 64;
 
 const registrationSchema = z.object({
     id: z.string().min(1).max(128),
-    bornAt: count.optional(),
-    service: name,
-    address: name,
-    zone: name,
-    slots: count,
+    bornAt: nonNegativeInt.optional(),
+    service: shortName,
+    address: shortName,
+    zone: shortName,
+    slots: nonNegativeInt,
     state: z.enum(["ready", "leaving", "gone"]),
-    sequence: count,
+    sequence: nonNegativeInt,
     mayReturn: z.boolean().optional(),
     isReplaced: z.boolean().optional(),
     isLeavingSaid: z.boolean().optional(),
-    coldLeftMs: count.optional(),
+    coldLeftMs: nonNegativeInt.optional(),
 }) satisfies z.ZodType<UpstreamRegistration>;
 
 const suspectListSchema = z.object({
-    /** Of the log, at the newest change of what is known; a list with a higher one replaces this one. */
-    index: count,
+    /** Log index of the latest change; a list with a higher index replaces this one. */
+    index: nonNegativeInt,
     suspects: z.array(z.object({
         fingerprint: fingerprintSchema,
-        /** It ends what runs it. */
+        /** Whether the request ends the upstreams that run it. */
         isCulprit: z.boolean(),
-        /** How long it is held against it at the most, in milliseconds. */
-        leftMs: count,
+        /** Remaining time until the suspicion expires at the latest, in milliseconds. */
+        leftMs: nonNegativeInt,
     })).max(20_000),
 });
-/** The requests that were there when several upstreams ended. */
+/** Requests that were in progress when several upstreams ended. */
 export type SuspectList = z.infer<typeof suspectListSchema>;
 export type ToldSuspect = SuspectList["suspects"][number];
 
 const heardSchema = z.object({
     registration: registrationSchema,
-    ageMs: count,
-    limit: z.object({ perSecond: z.number().min(0).optional(), ageMs: count }).optional(),
+    ageMs: nonNegativeInt,
+    limit: z.object({ perSecond: z.number().min(0).optional(), ageMs: nonNegativeInt }).optional(),
 }) satisfies z.ZodType<HeardRegistration>;
 
-/** What a controller knows, for a router that follows it. */
+/** A controller's state as sent to a router that follows it. */
 export interface FollowAnswer {
-    /** Revision of the bundle in force there, if there is one. */
+    /** Revision of the controller's current bundle, if there is one. */
     readonly bundleRevision?: number | undefined;
-    /** All that are known, for routers of versions before, which ask for no news; empty otherwise. */
+    /** All known upstreams, for routers of earlier versions, which do not request changes; empty otherwise. */
     readonly upstreams: readonly HeardRegistration[];
-    /** Left out where the router did not want any, and by controllers of versions before. */
+    /** Omitted if the router did not request it, and by controllers of earlier versions. */
     readonly news?: UpstreamNews | undefined;
-    /** Addresses of the controllers that the log names. */
+    /** Addresses of the controllers recorded in the log. */
     readonly controllers: readonly string[];
-    /** The routers that follow this controller; left out where they are the same as when the router was last told. */
+    /** The routers that follow this controller; omitted if unchanged since they were last sent to this router. */
     readonly routers?: readonly RouterContact[] | undefined;
-    /** Names that list; left out by controllers of versions before. */
+    /** Identifies the version of `routers`; omitted by controllers of earlier versions. */
     readonly routersCursor?: ChangeCursor | undefined;
-    /** Whether the controller is connected to a majority of the others. */
+    /** Whether the controller is connected to a majority of controllers. */
     readonly hasMajority: boolean;
-    /** Left out by controllers of versions before. */
+    /** Omitted by controllers of earlier versions. */
     readonly suspects?: SuspectList | undefined;
-    /** Left out by controllers of versions before. */
+    /** Omitted by controllers of earlier versions. */
     readonly evacuations?: EvacuationList | undefined;
 }
 
-const cursorSchema = z.object({ epoch: name, number: count }) satisfies z.ZodType<ChangeCursor>;
+const cursorSchema = z.object({ epoch: shortName, number: nonNegativeInt }) satisfies z.ZodType<ChangeCursor>;
 
 const followSchema = z.object({
-    /** Where other routers reach the one that follows. */
-    address: name,
-    /** Whether the answer should tell of upstreams. */
+    /** Address of the following router for other routers. */
+    address: shortName,
+    /** Whether the response should include upstreams. */
     wantsUpstreams: z.boolean(),
-    /** How far this controller has told; left out before its first word, and by routers of versions before. */
+    /** Last cursor received from this controller; omitted in the first call, and by routers of earlier versions. */
     since: cursorSchema.optional(),
-    /** Which list of routers this controller has told; left out before its first word, and by routers of versions before. */
+    /** Last `routersCursor` from this controller; omitted in the first call, and by routers of earlier versions. */
     routersSince: cursorSchema.optional(),
-    /** Silence from which an upstream should be named as unheard, in milliseconds; left out by routers of versions before. */
-    unheardMs: count.optional(),
+    /** Milliseconds without a report after which an upstream is unheard; omitted by routers of earlier versions. */
+    unheardMs: nonNegativeInt.optional(),
 });
 export type FollowParams = z.infer<typeof followSchema>;
 
-/** Begins to follow a controller over this connection, and repeats what it knows; also asked as a heartbeat. */
+/** Starts to follow a controller over this connection and returns its state; repeated as a heartbeat. */
 export const followMethod = createPeerMethod<FollowParams, FollowAnswer>("fleet.follow", followSchema);
 
-/** Tells a follower that a bundle has come into force. The follower fetches it. */
+/** Notifies a follower of a new current bundle, which the follower then fetches. */
 export const bundleNoticeMethod = createPeerMethod<{ controller: string; revision: number; }, void>(
     "fleet.bundleNotice",
-    z.object({ controller: name, revision: count }),
+    z.object({ controller: shortName, revision: nonNegativeInt }),
 );
 
-/** Fetches the bundle in force, as its change from the one of revision `held` where the controller remembers that. */
+/** Fetches the current bundle, as a delta from revision `held` if the controller still has that revision. */
 export const getBundleMethod = createPeerMethod<
     { held?: number | undefined; },
     { bundle?: EncodedBundle | undefined; }
->("fleet.getBundle", z.object({ held: count.optional() }));
+>("fleet.getBundle", z.object({ held: nonNegativeInt.optional() }));
 
-/** Tells a follower, or another controller, what upstreams have reported. */
+/** Forwards reports of upstreams to a follower or to another controller. */
 export const upstreamNoticeMethod = createPeerMethod<{ upstreams: readonly HeardRegistration[]; }, void>(
     "fleet.upstreamNotice",
     z.object({ upstreams: z.array(heardSchema).max(20_000) }),
 );
 
-/** Tells a follower which requests upstreams end under, as soon as that changes. */
+/** Notifies a follower of a change to the list of suspect requests. */
 export const suspectNoticeMethod = createPeerMethod<SuspectList, void>("fleet.suspectNotice", suspectListSchema);
 
-/** Tells a follower from which zones the upstreams are to get no new work, as soon as that changes. */
+/** Notifies a follower of a change to the list of zones whose upstreams get no new requests. */
 export const evacuationNoticeMethod = createPeerMethod<EvacuationList, void>(
     "fleet.evacuationNotice",
-    z.object({ index: count, zones: z.array(z.string().min(1).max(MAX_ZONE_LENGTH)).max(1_000) }),
+    z.object({ index: nonNegativeInt, zones: z.array(z.string().min(1).max(MAX_ZONE_LENGTH)).max(1_000) }),
 );
 
 const endReportSchema = z.object({
-    /** Upstreams that ended, each with the requests of this router that broke off there. */
+    /** Upstreams that ended, each with this router's requests that were interrupted there. */
     ends: z.array(z.object({
         life: lifeKeySchema,
-        /** How long before this report the first of them broke off, in milliseconds. */
-        brokenAgoMs: count,
+        /** Milliseconds from the first interrupted request to this report. */
+        brokenAgoMs: nonNegativeInt,
         requests: z.array(brokenRequestSchema).min(1).max(MOST_BROKEN_REQUESTS),
     })).max(MOST_REPORTED_ENDS),
-    /** Requests under suspicion that were answered whole. */
+    /** Suspect requests that were answered completely. */
     cleared: z.array(fingerprintSchema).max(MOST_BROKEN_REQUESTS),
 });
 export type EndReport = z.infer<typeof endReportSchema>;
 export type ReportedEnd = EndReport["ends"][number];
 
-/** A router's report of upstreams that ended; any controller takes it to the log. Answers once a majority has it. */
+/** Reports ended upstreams to any controller, which appends the report to the log. Returns once a majority has it. */
 export const reportEndsMethod = createPeerMethod<{ report: EndReport; }, { index: number; }>(
     "fleet.reportEnds",
     z.object({ report: endReportSchema }),
 );
 
-/** A router's report of its prepaid tokens; any controller takes it to the log. */
+/** Reports a router's prepaid tokens to any controller, which appends the report to the log. */
 export const reportPrepaidMethod = createPeerMethod<{ report: PrepaidReportCommand; }, PrepaidResult>(
     "fleet.reportPrepaid",
     z.object({ report: prepaidReportCommand }),
 );
 
-/** A request that a router has sent to a model engine. */
+/** A request that a router has sent to a model engine, as shared with other routers. */
 export interface SharedPlacement {
     /** Address of the router that sent it. */
     readonly router: string;
     readonly upstream: string;
-    /** Which life of it; undefined where that is not told. */
+    /** Identifies the upstream's incarnation; undefined if the upstream does not report it. */
     readonly bornAt?: number | undefined;
-    /** Prompt tokens that the engine probably has to read. */
+    /** Estimated prompt tokens that are not in the engine's prefix cache. */
     readonly newTokens: number;
-    /** How long that takes beyond what is comfortable to streams beside, in milliseconds. */
+    /** Estimated prefill time in excess of what concurrent streams tolerate, in milliseconds. */
     readonly beyondMs: number;
-    /** The parts of its prompt, in order. */
+    /** Ids of the parts of the prompt, in order. */
     readonly parts: readonly string[];
 }
 
-/** Most placements in one notice. */
+/** Maximum number of placements in one notice. */
 export const MAX_NOTICE_PLACEMENTS = 1_000;
 
 const placementSchema = z.object({
-    router: name,
-    upstream: name,
-    bornAt: count.optional(),
-    newTokens: count,
-    beyondMs: count,
-    parts: z.array(name).max(1_000),
+    router: shortName,
+    upstream: shortName,
+    bornAt: nonNegativeInt.optional(),
+    newTokens: nonNegativeInt,
+    beyondMs: nonNegativeInt,
+    parts: z.array(shortName).max(1_000),
 }) satisfies z.ZodType<SharedPlacement>;
 
 /**
- * Whom the receiver of placements passes them on to: the other routers of its group and the relays of the other groups,
- * the other routers of its group alone, or nobody.
+ * To whom the receiver forwards placements. "all": the other routers of its group and the relays of the other groups;
+ * "group": the other routers of its group; "none": nobody.
  */
 const placementScope = z.enum(["all", "group", "none"]);
 export type PlacementScope = z.infer<typeof placementScope>;
 
-/** Placements on their way through the groups of routers. */
+/** Placements that are propagated through the router groups. */
 export interface PlacementNotice {
     readonly passTo: PlacementScope;
     readonly placements: readonly SharedPlacement[];
 }
 
-/** Tells another router what was sent to model engines. */
+/** Shares placements with another router. */
 export const placementNoticeMethod = createPeerMethod<PlacementNotice, void>(
     "fleet.placementNotice",
     z.object({ passTo: placementScope, placements: z.array(placementSchema).max(MAX_NOTICE_PLACEMENTS) }),
 );
 
 /**
- * A router gives the holder of accounts what is left of loans; sent once and never again, since each copy would count. What
- * is lost on the way stays spent.
+ * Returns the unused rest of loans to the holder of the accounts. Sent at most once, because each copy would be credited;
+ * tokens lost in transit stay spent.
  */
 export const returnPrepaidMethod = createPeerMethod<
     { accounts: readonly { readonly account: string; readonly tokens: number; }[]; },
     void
 >(
     "fleet.returnPrepaid",
-    z.object({ accounts: z.array(z.object({ account: z.string().min(1).max(256), tokens: count })).max(20_000) }),
+    z.object({
+        accounts: z.array(z.object({ account: z.string().min(1).max(256), tokens: nonNegativeInt })).max(20_000),
+    }),
 );
 
 const loanSchema = z.object({
     account: z.string().min(1).max(256),
-    tokens: count,
-    rank: count,
-    /** The other holds the account for the asker too, so that it leaves nothing for itself alone. */
+    tokens: nonNegativeInt,
+    rank: nonNegativeInt,
+    /** Whether the lender also holds the account for the asker, so that it reserves nothing for itself. */
     isHeldForAsker: z.boolean(),
 });
-/** What one router asks another to lend. */
+/** A router's request to another for a loan. */
 export type LoanRequest = z.infer<typeof loanSchema>;
 
-/** One router asks another for prepaid tokens. Answers how many it gives away for good. */
+/** Asks another router for prepaid tokens. Returns the number of tokens transferred, which is final. */
 export const lendPrepaidMethod = createPeerMethod<LoanRequest, { tokens: number; }>("fleet.lendPrepaid", loanSchema);
--- a/src/protocol/ledgerMethods.ts
+++ b/src/protocol/ledgerMethods.ts
@@ -1,4 +1,4 @@
-/** How routers and sidecars speak with a ledger. All amounts in tokens. */
+/** RPC methods of a ledger for routers and sidecars. All amounts are in tokens. */
 import * as z from "zod";
 import { type BillRecord, type UsageRecord, usageRecord } from "../domain/billBook.js";
 import { type TopUpRequest, topUpRequest } from "../domain/objects.js";
@@ -10,20 +10,20 @@
 const drawSchema = z.object({
     grant: grantId,
     budget: z.string().max(63),
-    /** Grows by one with each draw on a grant. */
+    /** Incremented with each draw on a grant. */
     sequence: z.int().min(1),
-    /** Least that is of use; less is refused. */
+    /** Minimum amount; the draw is refused if it is not available. */
     need: amount,
-    /** What the router's demand makes sensible. */
+    /** Amount that matches the router's demand. */
     want: amount,
 });
 export interface DrawAnswer {
-    /** Granted so far, in total. */
+    /** Cumulative amount of the grant. */
     readonly grantedTotal: number;
 }
 export const drawMethod = createPeerMethod<z.infer<typeof drawSchema>, DrawAnswer>("ledger.draw", drawSchema);
 
-/** Which ledger a controller runs, and how long a router may use a grant of it. */
+/** The ledger that a controller runs, and the lifetime of its grants. */
 export interface LedgerInfo {
     readonly ledger: string;
     readonly grantLifeMs: number;
@@ -34,7 +34,7 @@
     grants: z.array(z.object({
         grant: grantId,
         returnedTotal: amount,
-        /** Whether the router has no run under the grant any more, so that it can be closed. */
+        /** Whether the router has no more runs under the grant, so that it can be closed. */
         done: z.boolean(),
     })).max(1000),
 });
@@ -43,13 +43,13 @@
 const usageSchema = z.object({ records: z.array(usageRecord).max(1000) });
 export const usageMethod = createPeerMethod<{ records: UsageRecord[]; }, void>("ledger.usage", usageSchema);
 
-/** Asks a router to give back what it does not need. */
+/** Asks a router to return the tokens that it does not need. */
 export const recallGrantMethod = createPeerMethod<{ budget: string; }, { returned: number; }>(
     "router.recall",
     z.object({ budget: z.string() }),
 );
 
-/** Asks a ledger to give back what it can spare, up to `tokens`. */
+/** Asks a ledger to return up to `tokens` of its unused share. */
 const recallSchema = z.object({ budget: z.string(), tokens: amount });
 export const recallShareMethod = createPeerMethod<z.infer<typeof recallSchema>, { given: number; }>(
     "ledger.recall",
@@ -64,9 +64,9 @@
 export interface TopUpAnswer {
     /** Whether the tokens can be spent now. */
     readonly spendable: boolean;
-    /** Disks that hold the top-up, as far as is known. */
+    /** Number of disks known to hold the top-up. */
     readonly replicas: number;
-    /** Boxes that hold it in memory besides. */
+    /** Number of further boxes that hold it in memory. */
     readonly witnesses: number;
 }
 export const topUpMethod = createPeerMethod<TopUpRequest, TopUpAnswer>("ledger.topUp", topUpRequest);
@@ -74,17 +74,17 @@
 const intentSchema = z.object({
     requestId: z.string().max(300),
     digest: z.string().max(64),
-    /** Names one attempt of one router; the same owner may ask again. */
+    /** Identifies one attempt of one router; the same owner may repeat the call. */
     owner: z.string().max(200),
 });
-/** "granted": the owner alone may dispatch. "taken": another owner may have dispatched. "closed": it is known how it ended. */
+/** "granted": only the owner may dispatch. "taken": another owner may have dispatched. */
 export type IntentAnswer =
     | { readonly type: "granted"; }
     | { readonly type: "taken"; readonly digest: string; readonly owner: string; };
-/** Stores, before a not-repeatable request is dispatched, who may dispatch it. */
+/** Records who may dispatch a non-repeatable request, before it is dispatched. */
 export const intendMethod = createPeerMethod<z.infer<typeof intentSchema>, IntentAnswer>("ledger.intend", intentSchema);
 
-/** The owner says that nothing ran under its intent, so that a later attempt may. */
+/** Withdraws an intent under which nothing ran, so that a later attempt may dispatch. */
 export const withdrawIntentMethod = createPeerMethod<z.infer<typeof intentSchema>, void>(
     "ledger.withdrawIntent",
     intentSchema,
--- a/src/protocol/runMethods.ts
+++ b/src/protocol/runMethods.ts
@@ -1,4 +1,4 @@
-/** How routers speak with sidecars: runs, the request index, closed grants, witnesses of top-ups, orders. */
+/** RPC methods of a sidecar: runs, the request index, closing of grants, copies of top-ups, engine orders. */
 import * as z from "zod";
 import type { UsageRecord } from "../domain/billBook.js";
 import type { Refusal } from "../domain/resultCodes.js";
@@ -7,15 +7,15 @@
 const requestId = z.string().max(300);
 const runId = z.string().max(320);
 const tokens = z.int().min(0);
-/** Chosen by the router for each answer it listens to; chunks and ends are addressed by it. */
+/** Chosen by the router for each answer it receives; chunks and ends carry it. */
 const listenerId = z.string().max(64);
 
-/** A run as a router asks for it. */
+/** Parameters of a run requested by a router. */
 export const startRunSchema = z.object({
     requestId,
     runId,
     listener: listenerId,
-    /** Digest of the body, to refuse another body under the same id. */
+    /** Digest of the body, to reject a different body with the same id. */
     digest: z.string().max(64),
     account: z.string().max(63),
     service: z.string().max(63),
@@ -25,23 +25,23 @@
     /** Tokens reserved for the prompt and for the output. */
     promptBound: tokens,
     outputCap: tokens,
-    /** Lower goes first. */
+    /** Lower ranks run first. */
     rank: z.int().min(0).max(9),
     keptShare: z.number().min(0).max(1),
     ageingMs: z.number().min(1),
-    /** Milliseconds from now after which nobody waits for the answer. */
+    /** Time until the caller stops waiting, in milliseconds. */
     deadlineMs: z.number().min(0),
-    /** Whether another run of the request may exist that the router could not know of. */
+    /** Whether another run of the request may exist that the router does not know of. */
     uncertain: z.boolean(),
-    /** Whether the answer is kept after the end for a caller that comes back. */
+    /** Whether the answer is retained after the end for a caller that reconnects. */
     keep: z.boolean(),
-    /** Whether a loss of the router's connection ends the run. */
+    /** Whether the run is cancelled if the connection to the router is lost. */
     cancelWhenLost: z.boolean(),
     request: z.discriminatedUnion("type", [
         z.object({
             type: z.literal("chat"),
             body: z.record(z.string(), z.unknown()),
-            /** Chunks the caller has had already from an earlier run, and their text. */
+            /** Number of chunks that the caller already has from an earlier run, and their text. */
             resumeFrom: tokens,
             resumeText: z.string(),
         }),
@@ -50,14 +50,14 @@
             method: z.string().max(16),
             path: z.string().max(4096),
             headers: z.record(z.string(), z.string()),
-            /** Base64. */
+            /** Encoded in base64. */
             body: z.string(),
         }),
     ]),
 });
 export type StartRunParams = z.infer<typeof startRunSchema>;
 
-/** How the sidecar stands as it takes or refuses a run, so that routers know of its load without asking. */
+/** Load of a sidecar, returned when it accepts or refuses a run, so that routers need not poll it. */
 export interface SidecarLoad {
     readonly running: number;
     readonly queued: number;
@@ -67,17 +67,17 @@
 export interface StartRunAnswer {
     readonly load: SidecarLoad;
 }
-/** Takes a run in, or refuses with `ran` "no". The chunks follow as notifications. */
+/** Accepts a run, or refuses it with `ran` "no". The chunks follow as notifications. */
 export const startRunMethod = createPeerMethod<StartRunParams, StartRunAnswer>("run.start", startRunSchema);
 
 const attachSchema = z.object({ requestId, listener: listenerId, digest: z.string().max(64), from: tokens });
 export interface AttachAnswer {
     readonly runId: string;
 }
-/** Joins a run that another router began, from chunk `from` on. */
+/** Attaches to a run started by another router, from chunk `from` on. */
 export const attachRunMethod = createPeerMethod<z.infer<typeof attachSchema>, AttachAnswer>("run.attach", attachSchema);
 
-/** One piece of an answer. For a chat: the choice's delta. For a plain call: status and headers first, then body pieces. */
+/** A piece of an answer. Chat: the delta of the choice. Plain call: first status and headers, then parts of the body. */
 export type AnswerPiece =
     | { readonly delta: Record<string, unknown>; readonly finish?: string | undefined; }
     | { readonly status: number; readonly headers: Record<string, string>; }
@@ -87,14 +87,14 @@
 export interface RunChunk {
     readonly listener: string;
     readonly runId: string;
-    /** Position of the first piece in the whole answer. */
+    /** Position of the first piece within the answer. */
     readonly position: number;
     readonly pieces: AnswerPiece[];
-    /** The engine's own count of the prompt, once it has told it. Tokens. */
+    /** Prompt tokens as counted by the engine, once known. */
     readonly promptTokens?: number | undefined;
 }
 
-/** Checked by hand: there is a chunk for each token, and the general check took a tenth of a router's time. */
+/** Hand-written for speed: there can be a chunk per token, and a generic schema is too slow for that. */
 const chunkSchema = z.custom<RunChunk>(value => {
     const chunk = value as Partial<RunChunk> | undefined;
     return typeof chunk?.listener === "string"
@@ -106,10 +106,10 @@
 });
 
 function isAnswerPiece(piece: unknown): boolean {
-    const known = piece as { delta?: unknown; data?: unknown; status?: unknown; headers?: unknown; } | undefined;
-    return (typeof known?.delta === "object" && Boolean(known.delta))
-        || typeof known?.data === "string"
-        || (Number.isSafeInteger(known?.status) && typeof known?.headers === "object" && Boolean(known.headers));
+    const fields = piece as { delta?: unknown; data?: unknown; status?: unknown; headers?: unknown; } | undefined;
+    return (typeof fields?.delta === "object" && Boolean(fields.delta))
+        || typeof fields?.data === "string"
+        || (Number.isSafeInteger(fields?.status) && typeof fields?.headers === "object" && Boolean(fields.headers));
 }
 export const runChunkMethod = createPeerMethod<RunChunk, void>("run.chunk", chunkSchema);
 
@@ -128,7 +128,7 @@
     }).optional(),
     waitedMs: z.number(),
 });
-/** The end of a run; `refusal` where its answer is not whole. */
+/** The end of a run. `refusal` is set if the answer is incomplete. */
 export interface RunEnd {
     readonly listener: string;
     readonly runId: string;
@@ -136,12 +136,12 @@
     readonly promptTokens: number;
     readonly outputTokens: number;
     readonly refusal?: Refusal | undefined;
-    /** Milliseconds it waited in the sidecar's queue. */
+    /** Time in the sidecar's queue, in milliseconds. */
     readonly waitedMs: number;
 }
 export const runEndMethod = createPeerMethod<RunEnd, void>("run.end", endSchema as unknown as z.ZodType<RunEnd>);
 
-/** The router has passed everything before `position` on; the sidecar may read on. */
+/** Flow control: the router has forwarded all pieces before `position`, so the sidecar may continue reading. */
 const ackSchema = z.object({ runId, listener: listenerId, position: tokens });
 export const runAckMethod = createPeerMethod<z.infer<typeof ackSchema>, void>("run.ack", ackSchema);
 
@@ -152,28 +152,28 @@
     digest: z.string().max(64),
     owner: z.string().max(200),
 });
-/** Where a request stands according to the index. */
+/** State of a request in the index. */
 export type ClaimAnswer =
     | { readonly type: "claimed"; }
     | { readonly type: "pending"; readonly digest: string; }
     | { readonly type: "dispatched"; readonly digest: string; readonly sidecar: string; };
-/** Claims a request for one router, or tells who has it. */
+/** Claims a request for a router, or returns its state if it is already claimed. */
 export const claimMethod = createPeerMethod<z.infer<typeof claimSchema>, ClaimAnswer>("index.claim", claimSchema);
 
 const placeSchema = claimSchema.extend({ sidecar: z.string().max(128) });
-/** Says at which sidecar a claimed request is about to run. */
+/** Records the sidecar to which a claimed request is about to be dispatched. */
 export const placeMethod = createPeerMethod<z.infer<typeof placeSchema>, void>("index.place", placeSchema);
-/** Gives a claim up, because nothing ran. */
+/** Releases a claim under which nothing ran. */
 export const unclaimMethod = createPeerMethod<z.infer<typeof claimSchema>, void>("index.unclaim", claimSchema);
 
-/** Refuses further runs under grants, and tells what is still to come from them. */
+/** Rejects further runs under the grants and returns what is still pending under them. */
 const closeGrantSchema = z.object({ grants: z.array(z.string().max(256)).max(1000) });
 export interface CloseGrantAnswer {
     readonly box: string;
     readonly incarnation: string;
-    /** Grants with runs that have not ended. */
+    /** Grants with unfinished runs. */
     readonly active: readonly string[];
-    /** Usage records under these grants that no ledger has acknowledged yet. */
+    /** Usage records under these grants that no ledger has acknowledged. */
     readonly records: readonly UsageRecord[];
 }
 export const closeGrantMethod = createPeerMethod<z.infer<typeof closeGrantSchema>, CloseGrantAnswer>(
@@ -189,7 +189,7 @@
     tokens,
 });
 export type WitnessedTopUp = z.infer<typeof witnessSchema>;
-/** Holds a copy of a top-up in memory until the log has it. */
+/** Stores a copy of a top-up in memory until it is in the log. */
 export const holdWitnessMethod = createPeerMethod<WitnessedTopUp, void>("witness.hold", witnessSchema);
 export const listWitnessMethod = createPeerMethod<{ controller: string; }, { topUps: WitnessedTopUp[]; }>(
     "witness.list",
@@ -198,12 +198,12 @@
 
 const orderSchema = z.object({
     upstream: z.string().max(63),
-    /** The wanted model. */
+    /** The model to serve. */
     model: z.string().max(200),
-    /** Term of the leader that gives the order, and the revision it carries out. */
+    /** Term of the leader that issues the order, and the revision that it implements. */
     term: z.int().min(0),
     revision: z.int().min(0),
 });
 export type EngineOrder = z.infer<typeof orderSchema>;
-/** Gives an engine an order, unless one of a higher term or revision has been seen. */
+/** Sends an order to an engine, unless one with a higher term or revision has been seen. */
 export const orderMethod = createPeerMethod<EngineOrder, void>("order.give", orderSchema);
