--- a/src/daemons/controller/billReconciler.ts
+++ b/src/daemons/controller/billReconciler.ts
@@ -1,27 +1,27 @@
 /**
- * Compares bills that may stand in two ledgers: a request whose router could not know whether it ran elsewhere.
- * Once every other ledger has answered, one bill stands: a bill without doubt before a doubtful one, then the one of
- * the controller that comes first by name.
+ * Withdraws duplicate bills of requests that may have run more than once and been billed by several ledgers.
+ * A bill is confirmed or withdrawn only after every other ledger has answered. A certain bill takes precedence over an
+ * uncertain one; among uncertain bills, that of the controller whose name sorts first takes precedence.
  */
 import type { BillRecord } from "../../domain/billBook.js";
 import { findBillMethod } from "../../protocol/ledgerMethods.js";
 import { type ControllerContext, getOtherControllers } from "./fleetView.js";
 
-const ASK_TIMEOUT_MS = 1_000;
+const FIND_BILL_TIMEOUT_MS = 1_000;
 const MAX_BILLS_PER_ROUND = 200;
 
 export class BillReconciler {
     constructor(
         private readonly context: ControllerContext,
-        /** Age a doubtful bill must have, so that no other run of its request is still going on. Milliseconds. */
-        private readonly settleAfterMs: number,
+        /** Age of an uncertain bill after which no other run of its request can be in progress. Milliseconds. */
+        private readonly minAgeMs: number,
     ) {}
 
-    /** One round over the bills still in doubt. Those whose ledgers cannot all be reached stay for a later round. */
+    /** Reconciles uncertain bills once. Bills for which a ledger is unreachable are retried in a later round. */
     async reconcile(): Promise<void> {
-        const before = this.context.clock.getWallMs() - this.settleAfterMs;
-        const ripe = this.context.ledger.getUncertainBills().filter(bill => bill.at <= before);
-        const bills = ripe.slice(0, MAX_BILLS_PER_ROUND);
+        const latestBilledAt = this.context.clock.getWallMs() - this.minAgeMs;
+        const eligible = this.context.ledger.getUncertainBills().filter(bill => bill.at <= latestBilledAt);
+        const bills = eligible.slice(0, MAX_BILLS_PER_ROUND);
         await Promise.all(bills.map(bill => this.reconcileBill(bill).catch(() => undefined)));
     }
 
@@ -33,22 +33,22 @@
                 other.address,
                 findBillMethod,
                 { requestId: bill.requestId },
-                ASK_TIMEOUT_MS,
+                FIND_BILL_TIMEOUT_MS,
             );
             return { controller: other.name, bill: answer.bill };
         }));
-        const rival = answers.find(answer =>
-            answer.bill !== undefined && !answer.bill.withdrawn && isBefore(answer.controller, answer.bill, name)
+        const prevailing = answers.find(answer =>
+            answer.bill !== undefined && !answer.bill.withdrawn && prevailsOver(answer.controller, answer.bill, name)
         );
-        if (rival === undefined) {
+        if (prevailing === undefined) {
             await ledger.confirmBill(bill.requestId);
         }
         else {
-            await ledger.withdrawBill(bill.requestId, rival.controller);
+            await ledger.withdrawBill(bill.requestId, prevailing.controller);
         }
     }
 }
 
-function isBefore(controller: string, bill: BillRecord, self: string): boolean {
-    return !bill.uncertain || controller < self;
+function prevailsOver(controller: string, bill: BillRecord, ownName: string): boolean {
+    return !bill.uncertain || controller < ownName;
 }
--- a/src/daemons/controller/grantCloser.ts
+++ b/src/daemons/controller/grantCloser.ts
@@ -1,41 +1,41 @@
 /**
- * Closes grants whose router has stopped using them without saying so. A grant is closed when it has expired and every
- * sidecar that may have run under it has answered that nothing is running; a sidecar that was restarted in between
- * cannot answer for its past, and then what is left is written off as unaccounted.
+ * Closes expired grants that their routers have not closed. A grant with open tokens is closed only after every sidecar
+ * has reported that no request is running under it. If a sidecar was restarted since the grant was opened, its earlier
+ * usage is unknown and the open tokens are written off as unaccounted.
  */
 import { Ledger, type LedgerGrant } from "../../domain/ledger.js";
 import { type CloseGrantAnswer, closeGrantMethod } from "../../protocol/runMethods.js";
 import { type ControllerContext, getSidecars } from "./fleetView.js";
 import type { LedgerService } from "./ledgerService.js";
 
-const ASK_TIMEOUT_MS = 1_000;
+const CLOSE_GRANT_TIMEOUT_MS = 1_000;
 const MAX_GRANTS_PER_ROUND = 500;
 
 export class GrantCloser {
-    constructor(private readonly context: ControllerContext, private readonly service: LedgerService) {}
+    constructor(private readonly context: ControllerContext, private readonly ledgerService: LedgerService) {}
 
-    /** One round: asks the sidecars about the expired grants and closes those that nothing speaks against. */
+    /** Queries the sidecars about expired grants and closes those that are no longer in use. */
     async closeExpired(): Promise<void> {
-        const expired = this.context.ledger.getGrants().filter(grant => this.service.isExpired(grant.id));
+        const expired = this.context.ledger.getGrants().filter(grant => this.ledgerService.isExpired(grant.id));
         const grants = expired.slice(0, MAX_GRANTS_PER_ROUND);
-        const answers = await this.askSidecars(grants.map(grant => grant.id));
+        const answers = await this.querySidecars(grants.map(grant => grant.id));
         for (const grant of grants) {
             await this.tryClose(grant, answers);
         }
     }
 
-    /** The sidecars' answers; undefined for one that did not answer. With no grants it only learns who they are. */
-    private async askSidecars(grants: string[]): Promise<(CloseGrantAnswer | undefined)[]> {
+    /** Queries all sidecars; the result is undefined for each that did not answer. Also records their incarnations. */
+    private async querySidecars(grants: string[]): Promise<(CloseGrantAnswer | undefined)[]> {
         const { network, ledger } = this.context;
-        const asked = getSidecars(this.context).map(async sidecar => {
+        const calls = getSidecars(this.context).map(async sidecar => {
             try {
-                return await network.call(sidecar.address, closeGrantMethod, { grants }, ASK_TIMEOUT_MS);
+                return await network.call(sidecar.address, closeGrantMethod, { grants }, CLOSE_GRANT_TIMEOUT_MS);
             }
             catch {
                 return undefined;
             }
         });
-        const answers = await Promise.all(asked);
+        const answers = await Promise.all(calls);
         for (const answer of answers) {
             if (answer !== undefined) {
                 await Promise.all(answer.records.map(record => ledger.recordUsage(record)));
@@ -51,16 +51,16 @@
         if (current === undefined) {
             return;
         }
-        const open = Ledger.getOpenTokens(current);
-        const heard = answers.filter(answer => answer !== undefined);
-        const isActive = heard.some(answer => answer.active.includes(grant.id));
-        if (open > 0 && (heard.length < answers.length || isActive)) {
+        const openTokens = Ledger.getOpenTokens(current);
+        const received = answers.filter(answer => answer !== undefined);
+        const isActive = received.some(answer => answer.active.includes(grant.id));
+        if (openTokens > 0 && (received.length < answers.length || isActive)) {
             return;
         }
-        const complete = open === 0
-            || heard.every(answer => ledger.isWitnessOf(current, answer.box, answer.incarnation));
+        const complete = openTokens === 0
+            || received.every(answer => ledger.isWitnessOf(current, answer.box, answer.incarnation));
         await ledger.closeGrant(grant.id, complete);
-        this.service.forgetGrant(grant.id);
-        events.info("grant_closed", { grant: grant.id, budget: grant.budget, rest_tokens: open, complete });
+        this.ledgerService.forgetGrant(grant.id);
+        events.info("grant_closed", { grant: grant.id, budget: grant.budget, rest_tokens: openTokens, complete });
     }
 }
--- a/test/domain/billReconciler.test.ts
+++ b/test/domain/billReconciler.test.ts
@@ -1,4 +1,4 @@
-/** A request that ran in two zones is billed once: one of the two ledgers withdraws its bill and frees the tokens. */
+/** Guards against billing a request twice that ran in two zones. */
 import t from "tap";
 import { BillReconciler } from "../../src/daemons/controller/billReconciler.js";
 import type { ControllerContext } from "../../src/daemons/controller/fleetView.js";
@@ -15,7 +15,7 @@
     }
 }
 
-const SETTLE_MS = 50;
+const MIN_AGE_MS = 50;
 
 interface Zone {
     readonly ledger: Ledger;
@@ -23,7 +23,7 @@
     reachable: boolean;
 }
 
-/** Two ledgers, each with a grant, that ask each other for bills. */
+/** Creates two ledgers that each have a grant and query each other for bills. */
 async function createZones(clock: FakeClock): Promise<Record<"a" | "b", Zone>> {
     const controllers = ["a", "b"].map(name => ({ name, zone: name, address: name }));
     const zones = {} as Record<string, Zone>;
@@ -35,11 +35,11 @@
                 const other = zones[address]!;
                 return other.reachable
                     ? Promise.resolve({ bill: structuredClone(other.ledger.tryGetBill(params.requestId)) })
-                    : Promise.reject(new Error("cut off"));
+                    : Promise.reject(new Error("unreachable"));
             },
         };
         const context = { name, controllers, ledger, network, clock } as unknown as ControllerContext;
-        zones[name] = { ledger, reconciler: new BillReconciler(context, SETTLE_MS), reachable: true };
+        zones[name] = { ledger, reconciler: new BillReconciler(context, MIN_AGE_MS), reachable: true };
     }
     return zones as Record<"a" | "b", Zone>;
 }
@@ -58,21 +58,21 @@
 }
 
 for (const [first, second] of [[false, true], [true, true]] as const) {
-    void t.test(`two bills become one (uncertain: ${first}, ${second})`, async t => {
+    void t.test(`one of two bills is withdrawn (uncertain: ${first}, ${second})`, async t => {
         const clock = new FakeClock();
         const { a, b } = await createZones(clock);
         await a.ledger.recordUsage(createUsage("a", first, clock.getWallMs()));
         await b.ledger.recordUsage(createUsage("b", second, clock.getWallMs()));
         await b.reconciler.reconcile();
-        t.equal(b.ledger.getBalance("budget").spent, 30, "not before every run must have ended");
-        clock.advance(SETTLE_MS + 1);
+        t.equal(b.ledger.getBalance("budget").spent, 30, "kept while another run may be in progress");
+        clock.advance(MIN_AGE_MS + 1);
         a.reachable = false;
         await b.reconciler.reconcile();
-        t.equal(b.ledger.getBalance("budget").spent, 30, "not while the other cannot be asked");
+        t.equal(b.ledger.getBalance("budget").spent, 30, "kept while the other ledger is unreachable");
         a.reachable = true;
         await b.reconciler.reconcile();
         await a.reconciler.reconcile();
         t.equal(a.ledger.getBalance("budget").spent + b.ledger.getBalance("budget").spent, 30);
-        t.same(b.ledger.getUncertainBills().concat(a.ledger.getUncertainBills()), [], "nothing is left in doubt");
+        t.same(b.ledger.getUncertainBills().concat(a.ledger.getUncertainBills()), [], "no uncertain bills remain");
     });
 }
--- a/test/domain/grantCloser.test.ts
+++ b/test/domain/grantCloser.test.ts
@@ -1,4 +1,4 @@
-/** What becomes of a dead router's grant hangs on whether every sidecar can answer for its whole life. */
+/** Guards against freeing the tokens of an expired grant while usage under it may still be unreported. */
 import t from "tap";
 import type { ControllerContext } from "../../src/daemons/controller/fleetView.js";
 import { GrantCloser } from "../../src/daemons/controller/grantCloser.js";
@@ -24,7 +24,7 @@
     active: string[];
 }
 
-async function createWorld(): Promise<
+async function createFixture(): Promise<
     { ledger: Ledger; sidecars: Record<string, Sidecar>; closer: GrantCloser; state: { expired: boolean; }; }
 > {
     const ledger = new Ledger("l#0", new FakeJournal(true), new FixedShare());
@@ -53,7 +53,7 @@
                         active: sidecar.active,
                         records: [],
                     })
-                    : Promise.reject(new Error("cut off"));
+                    : Promise.reject(new Error("unreachable"));
             },
         },
     } as unknown as ControllerContext;
@@ -65,23 +65,23 @@
     return { ledger, sidecars, closer, state };
 }
 
-void t.test("all sidecars answer for its whole life: the rest is free again", async t => {
-    const { ledger, closer } = await createWorld();
+void t.test("open tokens are freed if every sidecar has run since before the grant was opened", async t => {
+    const { ledger, closer } = await createFixture();
     await closer.closeExpired();
     t.match(ledger.getBalance("b"), { free: 1_000, open: 0, unaccounted: 0 });
 });
 
-void t.test("a sidecar was restarted in between: the rest is written off", async t => {
-    const { ledger, closer, sidecars } = await createWorld();
+void t.test("open tokens are written off if a sidecar was restarted", async t => {
+    const { ledger, closer, sidecars } = await createFixture();
     sidecars["s1"]!.incarnation = "2";
     await closer.closeExpired();
     t.match(ledger.getBalance("b"), { free: 900, open: 0, unaccounted: 100 });
-    t.equal(await ledger.releaseUnaccounted("b", 100), 100, "until an operator frees it");
+    t.equal(await ledger.releaseUnaccounted("b", 100), 100, "released by an operator");
     t.match(ledger.getBalance("b"), { free: 1_000, unaccounted: 0 });
 });
 
-void t.test("a sidecar cannot be reached, or still runs under it: the rest is held", async t => {
-    const { ledger, closer, sidecars } = await createWorld();
+void t.test("a grant stays open while a sidecar is unreachable or runs a request under it", async t => {
+    const { ledger, closer, sidecars } = await createFixture();
     sidecars["s2"]!.reachable = false;
     await closer.closeExpired();
     t.match(ledger.getBalance("b"), { free: 900, open: 100 });
