--- a/src/daemons/controller/auditTrail.ts
+++ b/src/daemons/controller/auditTrail.ts
@@ -1,4 +1,4 @@
-/** The audit trail: a synced record of each accepted and refused change, on every controller's disk. */
+/** Audit trail: a durable record of every accepted and refused change, stored on each controller's disk. */
 import type { LogEntry } from "../../domain/commands.js";
 import type { ApplyResult } from "../../domain/declaredState.js";
 import { formatRefusal, type Refusal } from "../../domain/resultCodes.js";
@@ -6,21 +6,21 @@
 import type { OpenedJournal } from "../../ports/journal.js";
 import type { Log } from "../../ports/log.js";
 
-/** Records kept in memory for reading; the file holds all. */
+/** Number of recent records kept in memory; the journal keeps all of them. */
 const RECORDS_IN_MEMORY = 10_000;
 
 export class AuditTrail {
     private readonly records: AuditRecord[];
     private lastIndex = 0;
 
-    constructor(private readonly opened: OpenedJournal, private readonly log: Log) {
-        this.records = (opened.records as readonly AuditRecord[]).slice(-RECORDS_IN_MEMORY);
+    constructor(private readonly openedJournal: OpenedJournal, private readonly log: Log) {
+        this.records = (openedJournal.records as readonly AuditRecord[]).slice(-RECORDS_IN_MEMORY);
         for (const record of this.records) {
             this.lastIndex = Math.max(this.lastIndex, record.index);
         }
     }
 
-    /** Records an applied entry, unless it was recorded before a restart. */
+    /** Records an applied log entry; skips entries that were recorded before a restart. */
     recordEntry(entry: LogEntry, result: ApplyResult): void {
         const { command } = entry;
         if (entry.index <= this.lastIndex) {
@@ -54,18 +54,18 @@
         }
     }
 
-    /** Records a change that was refused before it reached the log. */
+    /** Records a change that was refused before it reached the replicated log. */
     recordRefusal(record: Omit<AuditRecord, "index" | "outcome">, refusal: Refusal): void {
         this.add({ index: 0, ...record, outcome: formatRefusal(refusal) });
     }
 
-    /** The newest records, oldest first. */
+    /** Returns the latest records, oldest first. */
     getRecords(limit: number): readonly AuditRecord[] {
         return this.records.slice(-limit);
     }
 
     async close(): Promise<void> {
-        await this.opened.journal.close();
+        await this.openedJournal.journal.close();
     }
 
     private add(record: AuditRecord): void {
@@ -74,7 +74,9 @@
         if (this.records.length > RECORDS_IN_MEMORY * 2) {
             this.records.splice(0, RECORDS_IN_MEMORY);
         }
-        this.opened.journal.append(record).catch(error => this.log.error("audit_failed", { error: String(error) }));
+        this.openedJournal.journal.append(record).catch(error =>
+            this.log.error("audit_failed", { error: String(error) })
+        );
     }
 }
 
--- a/src/daemons/controller/configPublisher.ts
+++ b/src/daemons/controller/configPublisher.ts
@@ -1,4 +1,4 @@
-/** Sends the declared configuration to the daemons that subscribe, and keeps what they report. */
+/** Publishes the declared configuration to subscribed daemons and stores the status they report. */
 import { createRefusal, formatRefusal, getRefusal, RefusalError } from "../../domain/resultCodes.js";
 import type { BoxList } from "../../ports/membership.js";
 import type { Peer, PeerHandlers } from "../../ports/peer.js";
@@ -18,16 +18,16 @@
     readonly address: string;
     sentRevision: number;
     reportedRevision: number;
-    heardAt: number;
+    lastReportAt: number;
     figures: Readonly<Record<string, number>>;
 }
 
-/** A daemon that has been gone this long is no longer listed. */
-const FORGET_AFTER_MS = 600_000;
+/** Time since the last report after which a disconnected subscriber is removed. */
+const SUBSCRIBER_RETENTION_MS = 600_000;
 
 export class ConfigPublisher {
     private readonly subscribers = new Map<string, Subscriber>();
-    private sending = false;
+    private isSendScheduled = false;
     private membership: MembershipUpdate = { leaving: [], gone: [] };
 
     constructor(private readonly context: ControllerContext) {
@@ -44,22 +44,22 @@
         handlers.add(reportMethod, (params, peer) => this.handleReport(params.revision, params.figures, peer));
     }
 
-    /** Tells every subscriber that this controller lives, and whether it is connected to a majority. */
+    /** Sends a heartbeat with the majority status to connected subscribers and removes those long disconnected. */
     sendHeartbeats(): void {
         const now = this.context.clock.getMonotonicMs();
         for (const [name, subscriber] of this.subscribers) {
             if (subscriber.peer.isOpen()) {
                 subscriber.peer.notify(updateMethod, this.createUpdate(subscriber.sentRevision));
             }
-            else if (now - subscriber.heardAt > FORGET_AFTER_MS) {
+            else if (now - subscriber.lastReportAt > SUBSCRIBER_RETENTION_MS) {
                 this.subscribers.delete(name);
             }
         }
     }
 
-    /** Passes on what the platform's list says, where it differs from before. */
-    setMembership(list: BoxList): void {
-        const membership: MembershipUpdate = { leaving: [...list.leaving], gone: [...list.gone] };
+    /** Sends the platform's box membership to all subscribers if it has changed. */
+    setMembership(boxes: BoxList): void {
+        const membership: MembershipUpdate = { leaving: [...boxes.leaving], gone: [...boxes.gone] };
         if (JSON.stringify(membership) === JSON.stringify(this.membership)) {
             return;
         }
@@ -82,12 +82,12 @@
             incarnation: subscriber.peer.identity.incarnation,
             address: subscriber.address,
             revision: subscriber.reportedRevision,
-            silentMs: Math.round(now - subscriber.heardAt),
+            silentMs: Math.round(now - subscriber.lastReportAt),
             figures: subscriber.figures,
         }));
     }
 
-    /** Reads through a majority first, so that a daemon that starts anew never sees an older configuration than before. */
+    /** Confirms the read index first, so that a restarted daemon does not receive an outdated configuration. */
     private async handleSubscribe(revision: number, address: string, peer: Peer): Promise<ConfigUpdate> {
         await this.context.log.readThroughMajority().catch(error => {
             this.context.events.warn("subscribe_unconfirmed", {
@@ -105,7 +105,7 @@
             address,
             sentRevision: update.revision,
             reportedRevision: revision,
-            heardAt: this.context.clock.getMonotonicMs(),
+            lastReportAt: this.context.clock.getMonotonicMs(),
             figures: {},
         });
         peer.notify(membershipMethod, this.membership);
@@ -117,16 +117,16 @@
         if (subscriber !== undefined) {
             subscriber.reportedRevision = revision;
             subscriber.figures = figures;
-            subscriber.heardAt = this.context.clock.getMonotonicMs();
+            subscriber.lastReportAt = this.context.clock.getMonotonicMs();
         }
     }
 
-    /** Sends once for all changes that are applied in one go. */
+    /** Coalesces changes that are applied in the same turn of the event loop into one update. */
     private scheduleSend(): void {
-        if (!this.sending) {
-            this.sending = true;
+        if (!this.isSendScheduled) {
+            this.isSendScheduled = true;
             setImmediate(() => {
-                this.sending = false;
+                this.isSendScheduled = false;
                 this.sendChanges();
             });
         }
--- a/src/daemons/controller/fleetView.ts
+++ b/src/daemons/controller/fleetView.ts
@@ -1,4 +1,4 @@
-/** What the parts of a controller share: who it is, the log, its ledger, and the network. */
+/** State and services shared by the modules of a controller. */
 import type { ReplicatedLog } from "../../consensus/replicatedLog.js";
 import type { Ledger } from "../../domain/ledger.js";
 import type { UpstreamSpec } from "../../domain/objects.js";
@@ -8,7 +8,6 @@
 import type { PeerNetwork } from "../../ports/peer.js";
 import type { ControllerAddress } from "../controllerAddress.js";
 
-/** The parts every module of a controller works with. */
 export interface ControllerContext {
     readonly name: string;
     readonly zone: string;
@@ -21,19 +20,18 @@
     readonly metrics: Metrics;
 }
 
-/** The other controllers. */
 export function getOtherControllers(context: ControllerContext): ControllerAddress[] {
     return context.controllers.filter(controller => controller.name !== context.name);
 }
 
-/** A sidecar as the declared upstreams name it. */
+/** Location of a sidecar, as declared by its upstreams. */
 export interface SidecarAddress {
     readonly box: string;
     readonly zone: string;
     readonly address: string;
 }
 
-/** The sidecars of all declared upstreams, each once. */
+/** Returns the distinct sidecars of all declared upstreams. */
 export function getSidecars(context: ControllerContext): SidecarAddress[] {
     const sidecars = new Map<string, SidecarAddress>();
     for (const upstream of context.log.state.objects.getAll("upstream")) {
--- a/src/daemons/controller/intentService.ts
+++ b/src/daemons/controller/intentService.ts
@@ -1,4 +1,4 @@
-/** Answers routers for this controller's intents. */
+/** Handles routers' requests to store and withdraw intents. */
 import { getLedgerController } from "../../domain/identifiers.js";
 import type { IntentBook } from "../../domain/intentBook.js";
 import { createRefusal, RefusalError } from "../../domain/resultCodes.js";
@@ -12,9 +12,9 @@
     constructor(
         private readonly context: ControllerContext,
         private readonly intents: IntentBook,
-        /** After a lost disk, how long a request that may be a resend is refused. Milliseconds. */
+        /** Time after a disk loss during which requests that may be resent are refused. Milliseconds. */
         private readonly resendWindowMs: number,
-        /** Whether this start found the disk empty. */
+        /** Whether the disk was empty at startup. */
         private readonly startedEmpty: boolean,
     ) {
         this.startedAt = context.clock.getMonotonicMs();
@@ -22,29 +22,31 @@
 
     addHandlers(handlers: PeerHandlers): void {
         handlers.add(intendMethod, async params => {
-            this.checkMemory();
+            this.checkIntentsKnown();
             const intent = { digest: params.digest, owner: params.owner };
-            const standing = await this.intents.intend(params.requestId, intent);
-            return standing.owner === params.owner
+            const stored = await this.intents.intend(params.requestId, intent);
+            return stored.owner === params.owner
                 ? { type: "granted" as const }
-                : { type: "taken" as const, ...standing };
+                : { type: "taken" as const, ...stored };
         });
         handlers.add(withdrawIntentMethod, params => this.intents.withdraw(params.requestId, params.owner));
     }
 
-    /** A ledger that lost its disk has forgotten its intents; until no resend can come any more it must not grant one. */
-    private checkMemory(): void {
+    /** Refuses intents after a disk loss until no request can be resent whose earlier intent was lost. */
+    private checkIntentsKnown(): void {
         const { log, ledger, name, clock } = this.context;
         const record = log.state.budgets.tryGetLedger(ledger.id);
         if (record === undefined) {
-            throw new RefusalError(createRefusal("notReady", "the ledger is not registered yet", "no", 500));
+            throw new RefusalError(
+                createRefusal("notReady", "ledger is not registered in the replicated log yet", "no", 500),
+            );
         }
         const lostDisk = this.startedEmpty
             && log.state.budgets.getLedgers().some(other => other.sealed && getLedgerController(other.ledger) === name);
-        const leftMs = this.startedAt + this.resendWindowMs - clock.getMonotonicMs();
-        if (lostDisk && leftMs > 0) {
-            const detail = "this ledger lost its disk; an earlier attempt may have run";
-            throw new RefusalError(createRefusal("outcomeUnknown", detail, "unknown", leftMs));
+        const remainingMs = this.startedAt + this.resendWindowMs - clock.getMonotonicMs();
+        if (lostDisk && remainingMs > 0) {
+            const detail = "ledger lost its disk; an earlier attempt may have run";
+            throw new RefusalError(createRefusal("outcomeUnknown", detail, "unknown", remainingMs));
         }
     }
 }
--- a/src/daemons/controller/ledgerFile.ts
+++ b/src/daemons/controller/ledgerFile.ts
@@ -1,4 +1,4 @@
-/** Opens a controller's ledger from its journal; an empty journal begins a new incarnation. */
+/** Opens a controller's ledger from its journal. An empty journal starts a new incarnation. */
 import type { ReplicatedLog } from "../../consensus/replicatedLog.js";
 import { createRandomId, getLedgerId } from "../../domain/identifiers.js";
 import { Ledger, ShareSource } from "../../domain/ledger.js";
@@ -11,10 +11,9 @@
     readonly ledger: string;
 }
 
-/** A ledger as opened. */
 export interface OpenedLedger {
     readonly ledger: Ledger;
-    /** Whether the disk was empty: a first start, or a lost disk. */
+    /** Whether the journal was empty, because of a first start or a disk loss. */
     readonly startedEmpty: boolean;
 }
 
@@ -22,26 +21,26 @@
     const first = opened.records[0] as IncarnationRecord | undefined;
     const startedEmpty = first === undefined;
     const id = first?.ledger ?? getLedgerId(controller, createRandomId());
-    const head: IncarnationRecord = { type: "incarnation", ledger: id };
+    const header: IncarnationRecord = { type: "incarnation", ledger: id };
     if (startedEmpty) {
-        await opened.journal.append(head);
+        await opened.journal.append(header);
     }
-    const journal = createHeadedJournal(opened.journal, head);
+    const journal = createJournalWithHeader(opened.journal, header);
     const events = opened.records.slice(1) as LedgerEvent[];
     return { ledger: new Ledger(id, journal, new LogShareSource(id, log), events), startedEmpty };
 }
 
-/** A journal that keeps its first record when it is rewritten. */
-function createHeadedJournal(journal: Journal, head: IncarnationRecord): Journal {
+/** Wraps a journal so that its header record is preserved when its records are replaced. */
+function createJournalWithHeader(journal: Journal, header: IncarnationRecord): Journal {
     return {
         append: record => journal.append(record),
-        replaceAll: records => journal.replaceAll([head, ...records]),
+        replaceAll: records => journal.replaceAll([header, ...records]),
         getSize: () => journal.getSize(),
         close: () => journal.close(),
     };
 }
 
-/** What the replicated log, as far as this replica has applied it, has handed to a ledger. */
+/** Provides a ledger's allotments and top-ups from the entries that this replica has applied. */
 class LogShareSource extends ShareSource {
     constructor(private readonly ledger: string, private readonly log: ReplicatedLog) {
         super();
--- a/src/daemons/controller/orderDispatcher.ts
+++ b/src/daemons/controller/orderDispatcher.ts
@@ -1,4 +1,4 @@
-/** While this controller leads, has each upstream's engine hold the model that is declared. Orders carry the term. */
+/** On the leader, orders sidecars to load the declared model of each upstream. Orders carry the leader's term. */
 import { formatRefusal, getRefusal } from "../../domain/resultCodes.js";
 import { orderMethod } from "../../protocol/runMethods.js";
 import type { ControllerContext } from "./fleetView.js";
@@ -6,13 +6,13 @@
 const ORDER_TIMEOUT_MS = 2_000;
 
 export class OrderDispatcher {
-    /** Revision of each upstream whose order was carried out, in the present term. */
-    private readonly done = new Map<string, number>();
+    /** Revision of each upstream's last completed order in the current term. */
+    private readonly completedRevisions = new Map<string, number>();
     private term = 0;
 
     constructor(private readonly context: ControllerContext) {}
 
-    /** One round: gives the orders that are due. A leader that cannot confirm itself gives none. */
+    /** Sends pending orders if this controller is the leader and a majority confirms it. */
     async dispatch(): Promise<void> {
         const { log } = this.context;
         if (!log.isLeader()) {
@@ -21,24 +21,24 @@
         await log.readThroughMajority();
         if (log.getTerm() !== this.term) {
             this.term = log.getTerm();
-            this.done.clear();
+            this.completedRevisions.clear();
         }
         const due = log.state.objects.getAll("upstream").filter(upstream =>
-            upstream.spec.model !== undefined && this.done.get(upstream.name) !== upstream.revision
+            upstream.spec.model !== undefined && this.completedRevisions.get(upstream.name) !== upstream.revision
         );
         await Promise.all(
             due.map(upstream =>
-                this.give(upstream.name, upstream.spec.sidecar, upstream.spec.model!, upstream.revision)
+                this.sendOrder(upstream.name, upstream.spec.sidecar, upstream.spec.model!, upstream.revision)
             ),
         );
     }
 
-    private async give(upstream: string, sidecar: string, model: string, revision: number): Promise<void> {
+    private async sendOrder(upstream: string, sidecar: string, model: string, revision: number): Promise<void> {
         const { network, events } = this.context;
         const order = { upstream, model, term: this.term, revision };
         try {
             await network.call(sidecar, orderMethod, order, ORDER_TIMEOUT_MS);
-            this.done.set(upstream, revision);
+            this.completedRevisions.set(upstream, revision);
             events.info("order_done", { upstream, model, term: order.term, revision });
         }
         catch (error) {
--- a/src/daemons/controller/statusService.ts
+++ b/src/daemons/controller/statusService.ts
@@ -1,4 +1,4 @@
-/** The fleet at a glance: asks every controller for its part and puts them together. */
+/** Collects the status of all controllers into a status of the fleet. */
 import { checkBudgetConservation } from "../../domain/budgetBook.js";
 import type { DeclaredObject } from "../../domain/objects.js";
 import type { PeerHandlers } from "../../ports/peer.js";
@@ -11,26 +11,26 @@
 import type { ConfigPublisher } from "./configPublisher.js";
 import { type ControllerContext, getOtherControllers } from "./fleetView.js";
 
-const ASK_TIMEOUT_MS = 800;
+const STATUS_TIMEOUT_MS = 800;
 
-/** One budget over all ledgers. Tokens. */
+/** Token totals of a budget across all ledgers. */
 export interface BudgetStatus {
     readonly toppedUp: number;
     readonly unallocated: number;
     readonly spent: number;
-    /** Open grants: reserved, or ready at a router. */
+    /** Tokens in open grants, reserved for requests or idle at a router. */
     readonly reserved: number;
     readonly unaccounted: number;
-    /** What sealed ledgers held when they were replaced; not spendable. */
+    /** Unspent tokens of sealed ledgers, which cannot be spent. */
     readonly sealed: number;
-    /** Free tokens by controller. */
+    /** Free tokens by controller, or by ledger if its controller did not report a balance. */
     readonly shares: Readonly<Record<string, number>>;
     readonly conserved: boolean;
-    /** Disks that hold the top-ups. */
+    /** Minimum number of disks that store a credited top-up: the quorum size. */
     readonly replicas: number;
 }
 
-/** Everything `loomwinch status` shows. */
+/** Status of the fleet, as shown by `loomwinch status`. */
 export interface FleetStatus {
     readonly askedAt: string;
     readonly revision: number;
@@ -53,8 +53,8 @@
     async getStatus(): Promise<FleetStatus> {
         const { log, name, network } = this.context;
         const others = getOtherControllers(this.context);
-        const asked = others.map(other => network.call(other.address, statusMethod, {}, ASK_TIMEOUT_MS));
-        const answers = await Promise.allSettled(asked);
+        const calls = others.map(other => network.call(other.address, statusMethod, {}, STATUS_TIMEOUT_MS));
+        const answers = await Promise.allSettled(calls);
         const controllers = [this.getOwnStatus()];
         const silentControllers: string[] = [];
         answers.forEach((answer, i) => {
@@ -73,12 +73,12 @@
             term: log.getTerm(),
             controllers,
             silentControllers,
-            daemons: getNewestDaemons(controllers),
-            budgets: this.createBudgets(controllers),
+            daemons: selectLatestDaemonStatuses(controllers),
+            budgets: this.createBudgetStatuses(controllers),
         };
     }
 
-    /** The status part of one object: where it is in force, and for a budget its tokens. */
+    /** Creates an object's status: the daemons that have applied its revision and, for a budget, its token totals. */
     createObjectStatus(object: DeclaredObject, fleet: FleetStatus): unknown {
         const behind = fleet.daemons.filter(daemon => daemon.revision < object.revision).map(daemon => daemon.name);
         const inForceAt = { daemons: fleet.daemons.length - behind.length, behind };
@@ -110,7 +110,7 @@
         };
     }
 
-    private createBudgets(controllers: readonly ControllerStatus[]): Record<string, BudgetStatus> {
+    private createBudgetStatuses(controllers: readonly ControllerStatus[]): Record<string, BudgetStatus> {
         const budgets: Record<string, BudgetStatus> = {};
         this.context.log.state.budgets.forEachBudget((budget, account) => {
             let spent = 0;
@@ -154,16 +154,16 @@
     }
 }
 
-/** Each daemon once, as the controller that heard it last tells it. */
-function getNewestDaemons(controllers: readonly ControllerStatus[]): DaemonStatus[] {
-    const newest = new Map<string, DaemonStatus>();
+/** Selects the most recently reported status of each daemon. */
+function selectLatestDaemonStatuses(controllers: readonly ControllerStatus[]): DaemonStatus[] {
+    const latest = new Map<string, DaemonStatus>();
     for (const controller of controllers) {
         for (const daemon of controller.daemons) {
-            const known = newest.get(daemon.name);
-            if (known === undefined || daemon.silentMs < known.silentMs) {
-                newest.set(daemon.name, daemon);
+            const existing = latest.get(daemon.name);
+            if (existing === undefined || daemon.silentMs < existing.silentMs) {
+                latest.set(daemon.name, daemon);
             }
         }
     }
-    return [...newest.values()].sort((a, b) => (a.name < b.name ? -1 : 1));
+    return [...latest.values()].sort((a, b) => (a.name < b.name ? -1 : 1));
 }
