--- a/src/daemons/controller/budgetRefiller.ts
+++ b/src/daemons/controller/budgetRefiller.ts
@@ -1,6 +1,6 @@
 /**
- * Fills a ledger's share when it runs short: first from what is unallocated, then from its own routers' idle grants,
- * then from the other ledgers. One refill of a budget runs at a time; whoever else needs it waits for the same one.
+ * Refills a ledger's share of a budget from the unallocated tokens, then from idle grants of its own routers, then from
+ * the other ledgers. At most one refill per budget runs at a time; concurrent callers share its result.
  */
 import { getPolicy } from "../../domain/allocationPolicy.js";
 import type { MovingRate } from "../../domain/movingAverage.js";
@@ -11,52 +11,52 @@
 import type { ShareReporter } from "./shareReporter.js";
 
 const RECALL_TIMEOUT_MS = 400;
-/** A ledger without demand does not hold less than this: near a budget's end it is needed where the demand is. Tokens. */
-const SMALLEST_SHARE = 500;
-/** Below this part of its target a ledger asks for more, above the other it gives back. */
-const LOW_MARK = 0.8;
-const HIGH_MARK = 1.3;
+/** Smallest target for which a ledger without demand requests tokens. Leaves the last tokens to ledgers with demand. */
+const MIN_IDLE_SHARE_TOKENS = 500;
+/** Fractions of the target below which a ledger requests tokens and above which it returns them. */
+const LOW_WATERMARK = 0.8;
+const HIGH_WATERMARK = 1.3;
 
-/** Routers with open grants of a budget, as connections. */
-export type GrantHolders = (budget: string) => Peer[];
+/** Returns the connections of the routers that hold open grants of a budget. */
+export type GrantHolderLookup = (budget: string) => Peer[];
 
-/** What a refill came to, as of its end: whoever waits beside may have drawn what came. */
+/** Result of a refill at its end. Concurrent draws may already have taken the tokens. */
 export type RefillOutcome =
     | "filled"
-    /** Nothing is left in any other ledger, nor unallocated. */
+    /** No tokens are unallocated or available from another ledger. */
     | "exhausted"
-    /** Tokens moved, and too few of them came here: they went to another ledger, or were too few. */
+    /** Other ledgers returned tokens, or some are unallocated, but this ledger did not obtain enough of them. */
     | "moved"
-    /** Not everybody could be asked, so there may be tokens that this ledger does not see. */
+    /** The majority or another ledger could not be reached, so tokens may be available that this ledger cannot see. */
     | "unreachable";
 
 export class BudgetRefiller {
-    private readonly running = new Map<string, Promise<RefillOutcome>>();
+    private readonly activeRefills = new Map<string, Promise<RefillOutcome>>();
 
     constructor(
         private readonly context: ControllerContext,
         private readonly reporter: ShareReporter,
-        private readonly getDemand: (budget: string) => MovingRate,
-        private readonly getHolders: GrantHolders,
-        /** Tokens that all draws need together that wait now. */
-        private readonly getWaiting: (budget: string) => number,
+        private readonly getDemandRate: (budget: string) => MovingRate,
+        private readonly listGrantHolders: GrantHolderLookup,
+        /** Returns the tokens needed by all pending draws together. */
+        private readonly getPendingDrawTokens: (budget: string) => number,
     ) {}
 
-    /** Tries to have `need` tokens free, and what other draws wait for. */
+    /** Tries to obtain enough free tokens for `need` and for all pending draws. */
     async refill(budget: string, need: number): Promise<RefillOutcome> {
-        const running = this.running.get(budget);
-        if (running !== undefined) {
-            return running;
+        const active = this.activeRefills.get(budget);
+        if (active !== undefined) {
+            return active;
         }
         const refill = this.runRefill(budget, need).catch(error => {
             this.context.events.warn("refill_failed", { budget, reason: formatRefusal(getRefusal(error)) });
             return "unreachable" as const;
-        }).finally(() => this.running.delete(budget));
-        this.running.set(budget, refill);
+        }).finally(() => this.activeRefills.delete(budget));
+        this.activeRefills.set(budget, refill);
         return refill;
     }
 
-    /** Moves tokens from what is unallocated to this ledger's share. Answers how many came. */
+    /** Allots unallocated tokens to this ledger's share and resolves with the number of tokens allotted. */
     async allot(budget: string, tokens: number): Promise<number> {
         const { log, ledger } = this.context;
         const sequence = (log.state.budgets.tryGetShare(budget, ledger.id)?.allotSequence ?? 0) + 1;
@@ -67,42 +67,46 @@
 
     private async runRefill(budget: string, need: number): Promise<RefillOutcome> {
         const { log } = this.context;
-        const getMissing = (): number => Math.max(need, this.getWaiting(budget)) - this.getFree(budget);
+        const computeShortfall = (): number =>
+            Math.max(need, this.getPendingDrawTokens(budget)) - this.getFreeTokens(budget);
         const connected = log.isConnectedToMajority();
-        if (connected && this.getUnallocated(budget) > 0) {
-            await this.allot(budget, Math.max(getMissing(), this.getTarget(budget) - this.getFree(budget)));
+        if (connected && this.getUnallocatedTokens(budget) > 0) {
+            await this.allot(
+                budget,
+                Math.max(computeShortfall(), this.computeTargetTokens(budget) - this.getFreeTokens(budget)),
+            );
         }
-        if (getMissing() > 0) {
+        if (computeShortfall() > 0) {
             await this.recallGrants(budget);
         }
-        if (getMissing() <= 0) {
+        if (computeShortfall() <= 0) {
             return "filled";
         }
         if (!connected) {
-            return this.getFree(budget) >= need ? "filled" : "unreachable";
+            return this.getFreeTokens(budget) >= need ? "filled" : "unreachable";
         }
-        const given = this.mayRecall(budget) ? await this.recallShares(budget, getMissing()) : 0;
-        if (getMissing() > 0 && this.getUnallocated(budget) > 0) {
-            await this.allot(budget, getMissing());
+        const returned = this.allowsRecall(budget) ? await this.recallShares(budget, computeShortfall()) : 0;
+        if (computeShortfall() > 0 && this.getUnallocatedTokens(budget) > 0) {
+            await this.allot(budget, computeShortfall());
         }
-        if (this.getFree(budget) >= need) {
+        if (this.getFreeTokens(budget) >= need) {
             return "filled";
         }
-        if (given === undefined) {
+        if (returned === undefined) {
             return "unreachable";
         }
-        return given > 0 || this.getUnallocated(budget) > 0 ? "moved" : "exhausted";
+        return returned > 0 || this.getUnallocatedTokens(budget) > 0 ? "moved" : "exhausted";
     }
 
-    private getFree(budget: string): number {
+    private getFreeTokens(budget: string): number {
         return this.context.ledger.getBalance(budget).free;
     }
 
-    private getUnallocated(budget: string): number {
+    private getUnallocatedTokens(budget: string): number {
         return this.context.log.state.budgets.tryGetBudget(budget)?.unallocated ?? 0;
     }
 
-    private getTarget(budget: string): number {
+    private computeTargetTokens(budget: string): number {
         const { log, ledger } = this.context;
         const account = log.state.budgets.tryGetBudget(budget);
         if (account === undefined) {
@@ -112,17 +116,17 @@
             account,
             openLedgers: log.state.budgets.getOpenLedgers().map(record => record.ledger),
             self: ledger.id,
-            ownDemand: this.getOwnRate(budget),
+            ownDemand: this.getOwnDemand(budget),
             ownFree: ledger.getBalance(budget).free,
         });
     }
 
-    /** Tokens a second drawn here lately. */
-    private getOwnRate(budget: string): number {
-        return this.getDemand(budget).getRate(this.context.clock.getMonotonicMs());
+    /** Returns the recent demand on this ledger in tokens per second. */
+    private getOwnDemand(budget: string): number {
+        return this.getDemandRate(budget).getRate(this.context.clock.getMonotonicMs());
     }
 
-    private mayRecall(budget: string): boolean {
+    private allowsRecall(budget: string): boolean {
         return this.getBudgetPolicy(budget).mayRecall();
     }
 
@@ -131,53 +135,55 @@
     }
 
     private async recallGrants(budget: string): Promise<void> {
-        const asked = this.getHolders(budget).map(peer => peer.call(recallGrantMethod, { budget }, RECALL_TIMEOUT_MS));
-        await Promise.allSettled(asked);
+        const calls = this.listGrantHolders(budget).map(peer =>
+            peer.call(recallGrantMethod, { budget }, RECALL_TIMEOUT_MS)
+        );
+        await Promise.allSettled(calls);
     }
 
-    /** Asks every other ledger for what is missing. Answers how much they gave; undefined where one did not answer. */
-    private async recallShares(budget: string, missing: number): Promise<number | undefined> {
+    /** Asks all other ledgers for tokens. Resolves with the sum returned, or undefined if a ledger did not answer. */
+    private async recallShares(budget: string, shortfall: number): Promise<number | undefined> {
         const others = getOtherControllers(this.context);
-        const asked = others.map(other =>
+        const calls = others.map(other =>
             this.context.network.call(
                 other.address,
                 recallShareMethod,
-                { budget, tokens: missing },
+                { budget, tokens: shortfall },
                 RECALL_TIMEOUT_MS * 2,
             )
         );
-        const answers = await Promise.allSettled(asked);
-        const given = answers.map(answer => answer.status === "fulfilled" ? answer.value.given : undefined);
-        return given.includes(undefined) ? undefined : given.reduce((sum: number, tokens) => sum + tokens!, 0);
+        const answers = await Promise.allSettled(calls);
+        const returned = answers.map(answer => answer.status === "fulfilled" ? answer.value.given : undefined);
+        return returned.includes(undefined) ? undefined : returned.reduce((sum: number, tokens) => sum + tokens!, 0);
     }
 
-    /** Gives back what another ledger asks for, as far as it is free: a request over there would be refused now. */
-    async giveBackOnRecall(budget: string, tokens: number): Promise<number> {
+    /** Returns free tokens that another ledger needs for a pending draw, and resolves with the number returned. */
+    async returnOnRecall(budget: string, tokens: number): Promise<number> {
         const { ledger } = this.context;
-        if (!this.mayRecall(budget)) {
+        if (!this.allowsRecall(budget)) {
             return 0;
         }
         if (ledger.getBalance(budget).free < tokens) {
             await this.recallGrants(budget);
         }
-        const given = await ledger.giveBack(budget, tokens);
-        if (given > 0) {
+        const returned = await ledger.giveBack(budget, tokens);
+        if (returned > 0) {
             await this.reporter.report([budget]);
         }
-        return given;
+        return returned;
     }
 
-    /** Moves the share towards its policy's target: gives back what is far above, asks for what is far below. */
-    async balance(budget: string): Promise<void> {
+    /** Requests or returns tokens if the share deviates from the policy's target by more than the watermarks allow. */
+    async rebalance(budget: string): Promise<void> {
         const { ledger, log } = this.context;
-        const target = this.getTarget(budget);
+        const target = this.computeTargetTokens(budget);
         const free = ledger.getBalance(budget).free;
         const unallocated = log.state.budgets.tryGetBudget(budget)?.unallocated ?? 0;
-        const isWorthHolding = target >= SMALLEST_SHARE || this.getOwnRate(budget) >= 1;
-        if (free < target * LOW_MARK && unallocated > 0 && isWorthHolding) {
+        const needsShare = target >= MIN_IDLE_SHARE_TOKENS || this.getOwnDemand(budget) >= 1;
+        if (free < target * LOW_WATERMARK && unallocated > 0 && needsShare) {
             await this.allot(budget, Math.ceil(target - free));
         }
-        else if (free > target * HIGH_MARK && this.getBudgetPolicy(budget).mayGiveBack()) {
+        else if (free > target * HIGH_WATERMARK && this.getBudgetPolicy(budget).mayGiveBack()) {
             await ledger.giveBack(budget, Math.floor(free - target));
         }
     }
--- a/src/daemons/controller/controllerDaemon.ts
+++ b/src/daemons/controller/controllerDaemon.ts
@@ -143,7 +143,7 @@
         const budgets: string[] = [];
         log.state.budgets.forEachBudget(budget => budgets.push(budget));
         for (const budget of budgets) {
-            await this.ledgerService.refiller.balance(budget);
+            await this.ledgerService.refiller.rebalance(budget);
         }
         await this.ledgerService.reporter.report();
     }
--- a/src/daemons/controller/ledgerService.ts
+++ b/src/daemons/controller/ledgerService.ts
@@ -1,4 +1,4 @@
-/** Answers routers and sidecars for this controller's ledger. */
+/** Handles requests from routers, sidecars and other controllers to this controller's ledger. */
 import { Ledger } from "../../domain/ledger.js";
 import { MovingRate } from "../../domain/movingAverage.js";
 import { createRefusal, RefusalError } from "../../domain/resultCodes.js";
@@ -16,41 +16,38 @@
 import type { ControllerContext } from "./fleetView.js";
 import { ShareReporter } from "./shareReporter.js";
 
-/** Half-life of the demand that shares follow, in milliseconds. */
+/** Half-life of the demand estimate that determines a ledger's share. */
 const DEMAND_HALF_LIFE_MS = 10_000;
-/**
- * Most refills that one draw waits for: tokens that others gave back may be drawn or allotted elsewhere before they come.
- * With one, a ledger that had lost its share refused two of three draws that came at once, while the others were full.
- */
-const MOST_REFILLS = 5;
-/** Largest part of what is free that one draw takes beyond its need, so that several routers can draw. */
-const LARGEST_DRAW_PART = 0.25;
+/** More than one, because tokens that other ledgers return may be drawn or allotted elsewhere first. */
+const MAX_REFILLS_PER_DRAW = 5;
+/** Maximum fraction of the free tokens granted by a draw that needs fewer, so that several routers can draw. */
+const MAX_DRAW_FRACTION = 0.25;
 
 export class LedgerService {
     readonly reporter: ShareReporter;
     readonly refiller: BudgetRefiller;
-    private readonly demands = new Map<string, MovingRate>();
+    private readonly demandRates = new Map<string, MovingRate>();
     private readonly routers = new Map<string, Peer>();
-    private readonly doneGrants = new Set<string>();
-    private readonly deadlines = new Map<string, number>();
-    /** Tokens that draws need which wait now, by budget. */
-    private readonly waiting = new Map<string, number>();
+    private readonly finishedGrants = new Set<string>();
+    private readonly grantDeadlines = new Map<string, number>();
+    /** Tokens needed by pending draws, by budget. */
+    private readonly pendingDrawTokens = new Map<string, number>();
 
     constructor(
         private readonly context: ControllerContext,
-        /** How long a router may use a grant, counted from before it asked. */
+        /** Lifetime of a grant, which the router measures from before its first draw. Milliseconds. */
         private readonly grantLifeMs: number,
-        /** Added for clocks that run at different speeds. */
+        /** Allowance for clock drift between router and controller. Milliseconds. */
         private readonly driftMarginMs: number,
     ) {
-        const getDemand = (budget: string): MovingRate => this.getDemand(budget);
-        this.reporter = new ShareReporter(context, getDemand);
+        const getDemandRate = (budget: string): MovingRate => this.getDemandRate(budget);
+        this.reporter = new ShareReporter(context, getDemandRate);
         this.refiller = new BudgetRefiller(
             context,
             this.reporter,
-            getDemand,
-            budget => this.getHolders(budget),
-            budget => this.waiting.get(budget) ?? 0,
+            getDemandRate,
+            budget => this.listGrantHolders(budget),
+            budget => this.pendingDrawTokens.get(budget) ?? 0,
         );
     }
 
@@ -60,10 +57,10 @@
         handlers.add(returnMethod, params => this.handleReturn(params.grants));
         handlers.add(usageMethod, async params => {
             await Promise.all(params.records.map(record => this.context.ledger.recordUsage(record)));
-            await this.closeFinished(new Set(params.records.map(record => record.grant)));
+            await this.closeFinishedGrants(new Set(params.records.map(record => record.grant)));
         });
         handlers.add(recallShareMethod, async params => {
-            return { given: await this.refiller.giveBackOnRecall(params.budget, params.tokens) };
+            return { given: await this.refiller.returnOnRecall(params.budget, params.tokens) };
         });
         handlers.add(findBillMethod, params => {
             const bill = this.context.ledger.tryGetBill(params.requestId);
@@ -71,29 +68,29 @@
         });
     }
 
-    getDemand(budget: string): MovingRate {
-        let demand = this.demands.get(budget);
-        if (demand === undefined) {
-            demand = new MovingRate(DEMAND_HALF_LIFE_MS);
-            this.demands.set(budget, demand);
+    getDemandRate(budget: string): MovingRate {
+        let rate = this.demandRates.get(budget);
+        if (rate === undefined) {
+            rate = new MovingRate(DEMAND_HALF_LIFE_MS);
+            this.demandRates.set(budget, rate);
         }
-        return demand;
+        return rate;
     }
 
-    /** Whether a grant's router may not use it any more. After a restart a grant counts as new. */
+    /** Whether a grant's lifetime is over. After a restart, the lifetime starts with the first call. */
     isExpired(grant: string): boolean {
         const now = this.context.clock.getMonotonicMs();
-        const deadline = this.deadlines.get(grant);
+        const deadline = this.grantDeadlines.get(grant);
         if (deadline === undefined) {
-            this.extendDeadline(grant);
+            this.setDeadlineIfAbsent(grant);
             return false;
         }
         return now > deadline;
     }
 
     forgetGrant(grant: string): void {
-        this.deadlines.delete(grant);
-        this.doneGrants.delete(grant);
+        this.grantDeadlines.delete(grant);
+        this.finishedGrants.delete(grant);
     }
 
     private getInfo(): { ledger: string; grantLifeMs: number; } {
@@ -101,59 +98,61 @@
         return { ledger: this.context.ledger.id, grantLifeMs: this.grantLifeMs };
     }
 
-    /** A ledger works only once the log has its incarnation: until then an earlier one may not be sealed. */
+    /** Refuses requests until this incarnation is registered, because an earlier one may not be sealed yet. */
     private checkRegistered(): void {
         const record = this.context.log.state.budgets.tryGetLedger(this.context.ledger.id);
         if (record === undefined) {
-            throw new RefusalError(createRefusal("notReady", "the ledger is not registered yet", "no", 500));
+            throw new RefusalError(
+                createRefusal("notReady", "ledger is not registered in the replicated log yet", "no", 500),
+            );
         }
         if (record.sealed) {
             throw new RefusalError(createRefusal("incarnationSealed", this.context.ledger.id));
         }
     }
 
-    private async handleDraw(params: Parameters<typeof this.drawOnce>[0], peer: Peer): Promise<DrawAnswer> {
+    private async handleDraw(params: Parameters<typeof this.draw>[0], peer: Peer): Promise<DrawAnswer> {
         this.checkRegistered();
         this.routers.set(peer.identity.name, peer);
-        this.getDemand(params.budget).add(params.need, this.context.clock.getMonotonicMs());
-        this.addWaiting(params.budget, params.need);
+        this.getDemandRate(params.budget).add(params.need, this.context.clock.getMonotonicMs());
+        this.addPendingDrawTokens(params.budget, params.need);
         try {
-            return await this.drawRefilled(params, peer);
+            return await this.drawWithRefills(params, peer);
         }
         finally {
-            this.addWaiting(params.budget, -params.need);
+            this.addPendingDrawTokens(params.budget, -params.need);
         }
     }
 
-    private addWaiting(budget: string, tokens: number): void {
-        this.waiting.set(budget, (this.waiting.get(budget) ?? 0) + tokens);
+    private addPendingDrawTokens(budget: string, tokens: number): void {
+        this.pendingDrawTokens.set(budget, (this.pendingDrawTokens.get(budget) ?? 0) + tokens);
     }
 
-    /** Draws once there is enough; nothing else runs between the look and the draw, so no other draw comes between. */
-    private async drawRefilled(params: Parameters<typeof this.drawOnce>[0], peer: Peer): Promise<DrawAnswer> {
+    /** Refills until enough tokens are free, then draws. No `await` may separate the last check from the draw. */
+    private async drawWithRefills(params: Parameters<typeof this.draw>[0], peer: Peer): Promise<DrawAnswer> {
         const { budget, need } = params;
         const isShort = (): boolean => this.context.ledger.getBalance(budget).free < need;
         for (let refills = 0; isShort(); refills++) {
-            const outcome = refills < MOST_REFILLS ? await this.refiller.refill(budget, need) : "unreachable";
+            const outcome = refills < MAX_REFILLS_PER_DRAW ? await this.refiller.refill(budget, need) : "unreachable";
             if (outcome === "exhausted") {
                 break;
             }
             if (outcome === "unreachable" && isShort()) {
                 throw new RefusalError(
-                    createRefusal("budgetUnreachable", "this ledger is short and could not get more", "no", 1000),
+                    createRefusal("budgetUnreachable", "too few free tokens, and the refill failed", "no", 1000),
                 );
             }
         }
-        return this.drawOnce(params, peer);
+        return this.draw(params, peer);
     }
 
-    private async drawOnce(
+    private async draw(
         params: { grant: string; budget: string; sequence: number; need: number; want: number; },
         peer: Peer,
     ): Promise<DrawAnswer> {
         const { ledger } = this.context;
         const free = ledger.getBalance(params.budget).free;
-        const want = Math.min(params.want, Math.floor(free * LARGEST_DRAW_PART));
+        const want = Math.min(params.want, Math.floor(free * MAX_DRAW_FRACTION));
         const result = await ledger.draw(
             params.grant,
             peer.identity.name,
@@ -165,15 +164,15 @@
         if (result.type === "refused") {
             throw new RefusalError(result.refusal);
         }
-        this.extendDeadline(params.grant);
+        this.setDeadlineIfAbsent(params.grant);
         return { grantedTotal: result.grantedTotal };
     }
 
-    private extendDeadline(grant: string): void {
-        // Only the first draw counts: the router counts a grant's life from before it opened it.
-        if (!this.deadlines.has(grant)) {
+    private setDeadlineIfAbsent(grant: string): void {
+        // Later draws do not extend the lifetime, which the router measures from before its first draw.
+        if (!this.grantDeadlines.has(grant)) {
             const life = this.grantLifeMs + this.driftMarginMs;
-            this.deadlines.set(grant, this.context.clock.getMonotonicMs() + life);
+            this.grantDeadlines.set(grant, this.context.clock.getMonotonicMs() + life);
         }
     }
 
@@ -182,23 +181,23 @@
     ): Promise<void> {
         const { ledger } = this.context;
         await Promise.all(grants.map(entry => ledger.returnGrant(entry.grant, entry.returnedTotal)));
-        grants.filter(entry => entry.done).forEach(entry => this.doneGrants.add(entry.grant));
-        await this.closeFinished(new Set(grants.map(entry => entry.grant)));
+        grants.filter(entry => entry.done).forEach(entry => this.finishedGrants.add(entry.grant));
+        await this.closeFinishedGrants(new Set(grants.map(entry => entry.grant)));
     }
 
-    /** Closes grants whose router is done and whose tokens are all accounted for. */
-    private async closeFinished(grants: ReadonlySet<string>): Promise<void> {
+    /** Closes grants that their router has finished using and that have no open tokens. */
+    private async closeFinishedGrants(grants: ReadonlySet<string>): Promise<void> {
         const { ledger } = this.context;
         for (const id of grants) {
             const grant = ledger.tryGetGrant(id);
-            if (grant !== undefined && this.doneGrants.has(id) && Ledger.getOpenTokens(grant) === 0) {
+            if (grant !== undefined && this.finishedGrants.has(id) && Ledger.getOpenTokens(grant) === 0) {
                 await ledger.closeGrant(id, true);
                 this.forgetGrant(id);
             }
         }
     }
 
-    private getHolders(budget: string): Peer[] {
+    private listGrantHolders(budget: string): Peer[] {
         const names = new Set(
             this.context.ledger.getGrants().filter(grant => grant.budget === budget).map(grant => grant.router),
         );
--- a/src/daemons/controller/shareReporter.ts
+++ b/src/daemons/controller/shareReporter.ts
@@ -1,39 +1,39 @@
-/** Tells the replicated log what this ledger has given back, spent, written off and drawn lately. */
+/** Reports this ledger's returned, spent and unaccounted tokens and its demand to the replicated log. */
 import type { ShareReport } from "../../domain/commands.js";
 import type { MovingRate } from "../../domain/movingAverage.js";
 import type { ControllerContext } from "./fleetView.js";
 
-/** A demand is reported again when it has changed by more than this part. */
-const DEMAND_STEP = 0.25;
+/** Relative change of a budget's demand above which it is reported again. */
+const MIN_DEMAND_CHANGE_FRACTION = 0.25;
 const MAX_SHARES_PER_REPORT = 1000;
 
 export class ShareReporter {
     constructor(
         private readonly context: ControllerContext,
-        private readonly getDemand: (budget: string) => MovingRate,
+        private readonly getDemandRate: (budget: string) => MovingRate,
     ) {}
 
-    /** Reports the given budgets, or all, as far as anything has changed since the log's last word. */
+    /** Reports those of the given budgets, by default all, whose values differ from the last report in the log. */
     async report(budgets: readonly string[] = this.context.ledger.getBudgets()): Promise<void> {
         const { log, ledger } = this.context;
         const shares: ShareReport[] = [];
         for (const budget of budgets) {
             const report = this.createReport(budget);
-            const known = log.state.budgets.tryGetShare(budget, ledger.id);
-            if (known !== undefined && isNews(report, known)) {
+            const lastReport = log.state.budgets.tryGetShare(budget, ledger.id);
+            if (lastReport !== undefined && hasChanged(report, lastReport)) {
                 shares.push(report);
             }
         }
         for (let start = 0; start < shares.length; start += MAX_SHARES_PER_REPORT) {
-            const part = shares.slice(start, start + MAX_SHARES_PER_REPORT);
-            await log.propose({ type: "reportShares", ledger: ledger.id, shares: part });
+            const batch = shares.slice(start, start + MAX_SHARES_PER_REPORT);
+            await log.propose({ type: "reportShares", ledger: ledger.id, shares: batch });
         }
     }
 
     private createReport(budget: string): ShareReport {
         const { ledger, clock } = this.context;
         const balance = ledger.getBalance(budget);
-        const demand = this.getDemand(budget).getRate(clock.getMonotonicMs());
+        const demand = this.getDemandRate(budget).getRate(clock.getMonotonicMs());
         return {
             budget,
             returnedTotal: balance.returned,
@@ -44,10 +44,10 @@
     }
 }
 
-function isNews(report: ShareReport, known: Omit<ShareReport, "budget">): boolean {
-    const demandChange = Math.abs(report.demand - known.demand);
-    return report.returnedTotal !== known.returnedTotal
-        || report.spentTotal !== known.spentTotal
-        || report.unaccountedTotal !== known.unaccountedTotal
-        || demandChange > DEMAND_STEP * Math.max(report.demand, known.demand, 1);
+function hasChanged(report: ShareReport, lastReport: Omit<ShareReport, "budget">): boolean {
+    const demandChange = Math.abs(report.demand - lastReport.demand);
+    return report.returnedTotal !== lastReport.returnedTotal
+        || report.spentTotal !== lastReport.spentTotal
+        || report.unaccountedTotal !== lastReport.unaccountedTotal
+        || demandChange > MIN_DEMAND_CHANGE_FRACTION * Math.max(report.demand, lastReport.demand, 1);
 }
--- a/test/daemons/ledgerRefill.test.ts
+++ b/test/daemons/ledgerRefill.test.ts
@@ -1,12 +1,6 @@
 /**
- * A ledger that runs short asks the others, and refuses a budget as exhausted only where nothing is left of it anywhere.
- *
- * What was seen: after one of three ledgers had lost its disk, requests were refused as `budgetExhausted` while two thirds of
- * the budget lay in the living shares. The new ledger's share was empty, and everything was allotted to the others.
- *
- * Cause, as these tests show it (the run that was seen has left no logs): a draw that came while another one's refill was under way waited for that one, which asked for the other's need
- * only, and then took the empty share for an empty budget; and tokens that others gave back may have been allotted elsewhere
- * before they came, or an allotment have been passed over for another one under the same number.
+ * Guards against refusing draws as `budgetExhausted` while other ledgers have free tokens: when draws share a refill,
+ * when returned tokens are allotted to another ledger, and when an allotment is ignored as a duplicate.
  */
 import t from "tap";
 import type { ControllerContext } from "../../src/daemons/controller/fleetView.js";
@@ -26,7 +20,7 @@
 const NEED = 34;
 const ROUTERS = 3;
 
-class NamedPeer extends Peer {
+class FakePeer extends Peer {
     override readonly identity: PeerIdentity;
     constructor(name: string) {
         super();
@@ -34,7 +28,7 @@
     }
     override call<P, R>(): Promise<R> {
         void (0 as unknown as P);
-        return Promise.reject(new Error("not asked here"));
+        return Promise.reject(new Error("unexpected call"));
     }
     override notify(): void {}
     override onClose(): () => void {
@@ -45,23 +39,23 @@
     }
 }
 
-/** Reaches the other ledgers' handlers at once. */
-class LocalNetwork extends PeerNetwork {
+/** Calls the handlers of the other ledgers directly. */
+class FakeNetwork extends PeerNetwork {
     constructor(private readonly handlers: ReadonlyMap<string, PeerHandlers>) {
         super();
     }
     override connect(): Promise<Peer> {
-        return Promise.reject(new Error("no connections here"));
+        return Promise.reject(new Error("unexpected connect"));
     }
     override async call<P, R>(address: string, method: PeerMethod<P, R>, params: P): Promise<R> {
         await new Promise(setImmediate);
-        return this.handlers.get(address)!.handle(method.name, params, new NamedPeer("controller")) as Promise<R>;
+        return this.handlers.get(address)!.handle(method.name, params, new FakePeer("controller")) as Promise<R>;
     }
 }
 
-/** Ledgers over one book, whose commands are applied a turn after they are proposed. */
-class Ledgers {
-    readonly book = new BudgetBook();
+/** Ledgers that share one budget state. Commands are applied one turn of the event loop after they are proposed. */
+class LedgerFixture {
+    readonly budgets = new BudgetBook();
     /** Called before a command is applied. */
     onPropose: (command: Command) => void = () => undefined;
     private readonly handlers = new Map<string, PeerHandlers>();
@@ -70,7 +64,12 @@
     constructor(names: readonly string[]) {
         const controllers = names.map(name => ({ name, address: name, zone: "z" }));
         for (const name of names) {
-            this.book.applyRegisterLedger({ type: "registerLedger", controller: name, zone: "z", ledger: `${name}#1` });
+            this.budgets.applyRegisterLedger({
+                type: "registerLedger",
+                controller: name,
+                zone: "z",
+                ledger: `${name}#1`,
+            });
             const service = new LedgerService(this.createContext(name, controllers), 10_000, 100);
             const handlers = new PeerHandlers();
             service.addHandlers(handlers);
@@ -80,17 +79,17 @@
 
     private createContext(name: string, controllers: ControllerContext["controllers"]): ControllerContext {
         const ledgerId = `${name}#1`;
-        const { book } = this;
+        const { budgets } = this;
         class Source extends ShareSource {
             override getAllotted(budget: string): number {
-                return book.tryGetShare(budget, ledgerId)?.allottedTotal ?? 0;
+                return budgets.tryGetShare(budget, ledgerId)?.allottedTotal ?? 0;
             }
             override hasTopUp(): boolean {
                 return true;
             }
         }
         const log = {
-            state: { budgets: book, objects: { tryGet: () => undefined } },
+            state: { budgets, objects: { tryGet: () => undefined } },
             isConnectedToMajority: () => true,
             waitApplied: () => Promise.resolve(),
             propose: (command: Command) => this.propose(command),
@@ -101,7 +100,7 @@
             controllers,
             log: log as unknown as ControllerContext["log"],
             ledger: new Ledger(ledgerId, new FakeJournal(true), new Source()),
-            network: new LocalNetwork(this.handlers),
+            network: new FakeNetwork(this.handlers),
             clock: new FakeClock(),
             events: new NoLog(),
             metrics: new NoMetrics(),
@@ -112,18 +111,18 @@
         await new Promise(setImmediate);
         this.onPropose(command);
         const result = command.type === "allot"
-            ? this.book.applyAllot(command)
+            ? this.budgets.applyAllot(command)
             : { type: "accepted", tokens: 0 } as const;
         if (command.type !== "allot") {
-            applyCommand(this.book, command);
+            applyCommand(this.budgets, command);
         }
         this.index += 1;
         return { index: this.index, result };
     }
 
-    /** Tops the budget up, all of it in one ledger's share. */
+    /** Credits a top-up to one ledger's share. */
     topUp(tokens: number, name: string): void {
-        this.book.applyCreditTopUp(
+        this.budgets.applyCreditTopUp(
             {
                 type: "creditTopUp",
                 operationId: `o${tokens}`,
@@ -136,34 +135,34 @@
         );
     }
 
-    /** Draws by several routers at once; answers the codes of those that were refused. */
-    async drawAtOnce(name: string, routers: number, need: number): Promise<string[]> {
+    /** Draws from several routers concurrently and resolves with the codes of the refusals. */
+    async drawConcurrently(name: string, routers: number, need: number): Promise<string[]> {
         const draws = Array.from({ length: routers }, async (_, i) => {
             const params = { grant: `${name}#1/g${i}`, budget: BUDGET, sequence: 1, need, want: 0 };
-            await this.handlers.get(name)!.handle(drawMethod.name, params, new NamedPeer(`router-${i}`));
+            await this.handlers.get(name)!.handle(drawMethod.name, params, new FakePeer(`router-${i}`));
         });
         const results = await Promise.allSettled(draws);
         return results.flatMap(result => result.status === "rejected" ? [getRefusal(result.reason).code] : []);
     }
 }
 
-void t.test("draws that wait for the same refill all get their tokens where another ledger has them", async t => {
-    const ledgers = new Ledgers(["fresh", "rich"]);
+void t.test("concurrent draws that share a refill all succeed if another ledger has enough tokens", async t => {
+    const ledgers = new LedgerFixture(["fresh", "rich"]);
     ledgers.topUp(100_000, "rich");
-    t.same(await ledgers.drawAtOnce("fresh", ROUTERS, NEED), []);
+    t.same(await ledgers.drawConcurrently("fresh", ROUTERS, NEED), []);
 });
 
-void t.test("tokens that were given back and then allotted elsewhere are asked for again", async t => {
-    const ledgers = new Ledgers(["fresh", "rich", "third"]);
+void t.test("a draw recalls tokens again after returned tokens were allotted to another ledger", async t => {
+    const ledgers = new LedgerFixture(["fresh", "rich", "third"]);
     ledgers.topUp(100_000, "rich");
-    let taken = 0;
+    let divertedTokens = 0;
     ledgers.onPropose = command => {
-        const unallocated = ledgers.book.tryGetBudget(BUDGET)!.unallocated;
-        if (command.type === "allot" && command.ledger === "fresh#1" && taken === 0 && unallocated > 0) {
-            taken = unallocated;
-            const share = ledgers.book.tryGetShare(BUDGET, "third#1");
+        const unallocated = ledgers.budgets.tryGetBudget(BUDGET)!.unallocated;
+        if (command.type === "allot" && command.ledger === "fresh#1" && divertedTokens === 0 && unallocated > 0) {
+            divertedTokens = unallocated;
+            const share = ledgers.budgets.tryGetShare(BUDGET, "third#1");
             const sequence = (share?.allotSequence ?? 0) + 1;
-            ledgers.book.applyAllot({
+            ledgers.budgets.applyAllot({
                 type: "allot",
                 ledger: "third#1",
                 budget: BUDGET,
@@ -172,25 +171,25 @@
             });
         }
     };
-    t.same(await ledgers.drawAtOnce("fresh", 1, NEED), []);
-    t.ok(taken > 0);
+    t.same(await ledgers.drawConcurrently("fresh", 1, NEED), []);
+    t.ok(divertedTokens > 0);
 });
 
-void t.test("an allotment that was passed over for another of the same number is made again", async t => {
-    const ledgers = new Ledgers(["fresh", "rich"]);
+void t.test("an allotment that was ignored because of a duplicate sequence number is retried", async t => {
+    const ledgers = new LedgerFixture(["fresh", "rich"]);
     ledgers.topUp(100_000, "rich");
-    let clashes = 0;
+    let duplicateCount = 0;
     ledgers.onPropose = command => {
-        if (command.type === "allot" && clashes === 0) {
-            clashes += 1;
-            ledgers.book.applyAllot({ ...command, tokens: 1 });
+        if (command.type === "allot" && duplicateCount === 0) {
+            duplicateCount += 1;
+            ledgers.budgets.applyAllot({ ...command, tokens: 1 });
         }
     };
-    t.same(await ledgers.drawAtOnce("fresh", 1, NEED), []);
+    t.same(await ledgers.drawConcurrently("fresh", 1, NEED), []);
 });
 
-void t.test("a budget of which nothing is left anywhere is exhausted, and says so at once", async t => {
-    const ledgers = new Ledgers(["fresh", "rich"]);
+void t.test("a draw is refused as exhausted if no ledger has enough tokens", async t => {
+    const ledgers = new LedgerFixture(["fresh", "rich"]);
     ledgers.topUp(NEED * ROUTERS - 1, "rich");
-    t.same(await ledgers.drawAtOnce("fresh", ROUTERS, NEED), ["budgetExhausted"]);
+    t.same(await ledgers.drawConcurrently("fresh", ROUTERS, NEED), ["budgetExhausted"]);
 });
