--- a/src/daemons/controller/controllerDaemon.ts
+++ b/src/daemons/controller/controllerDaemon.ts
@@ -1,4 +1,4 @@
-/** One controller: a replica of the log, a ledger, and what goes on in the background. */
+/** A controller: a replica of the log, a ledger and periodic background tasks. */
 import { getLedgerController } from "../../domain/identifiers.js";
 import type { IntentBook } from "../../domain/intentBook.js";
 import type { MembershipSource } from "../../ports/membership.js";
@@ -26,9 +26,9 @@
     readonly resendWindowMs: number;
     readonly billSettleMs: number;
     readonly billKeepMs: number;
-    /** Size of the ledger's journal at which it is rewritten, in bytes. */
+    /** Size of the ledger's journal above which it is compacted, in bytes. */
     readonly compactBytes: number;
-    /** Whether the disk was empty at this start. */
+    /** Whether the disk was empty at startup. */
     readonly startedEmpty: boolean;
     readonly membership: MembershipSource;
 }
@@ -68,12 +68,12 @@
         this.tasks.forEach(task => task.start());
     }
 
-    /** Ends the watches that operators hold open. */
+    /** Closes the watches opened by operators. */
     closeWatches(): void {
         this.operators.closeWatches();
     }
 
-    /** Ends the background work and closes the disk. What is synced stays; nothing else was promised. */
+    /** Stops the background tasks and the log, and closes the audit journal. */
     async stop(): Promise<void> {
         await Promise.all(this.tasks.map(task => task.stop()));
         await this.context.log.stop();
@@ -82,29 +82,29 @@
 
     private createTasks(): void {
         const { sharePeriodMs, heartbeatMs, closePeriodMs } = this.options;
-        const closer = new GrantCloser(this.context, this.ledgerService);
-        const reconciler = new BillReconciler(this.context, this.options.billSettleMs);
-        const orders = new OrderDispatcher(this.context);
+        const grantCloser = new GrantCloser(this.context, this.ledgerService);
+        const billReconciler = new BillReconciler(this.context, this.options.billSettleMs);
+        const orderDispatcher = new OrderDispatcher(this.context);
         this.addTask("register", heartbeatMs, () => this.registerLedger());
-        this.addTask("top_ups", sharePeriodMs, () => this.settleTopUps());
-        this.addTask("shares", sharePeriodMs, () => this.balanceShares());
+        this.addTask("top_ups", sharePeriodMs, () => this.recoverAndProposeTopUps());
+        this.addTask("shares", sharePeriodMs, () => this.rebalanceShares());
         this.addTask("heartbeat", heartbeatMs, async () => this.publisher.sendHeartbeats());
-        this.addTask("close_grants", closePeriodMs, () => closer.closeExpired());
-        this.addTask("bills", closePeriodMs, () => reconciler.reconcile());
-        this.addTask("orders", sharePeriodMs, () => orders.dispatch());
+        this.addTask("close_grants", closePeriodMs, () => grantCloser.closeExpired());
+        this.addTask("bills", closePeriodMs, () => billReconciler.reconcile());
+        this.addTask("orders", sharePeriodMs, () => orderDispatcher.dispatch());
         this.addTask(
             "membership",
             closePeriodMs,
             async () => this.publisher.setMembership(await this.options.membership.read()),
         );
-        this.addTask("compact", closePeriodMs, () => this.compact());
+        this.addTask("compact", closePeriodMs, () => this.compactJournal());
     }
 
-    private addTask(name: string, periodMs: number, work: () => Promise<void>): void {
-        this.tasks.push(new RepeatingTask(name, this.context.clock, this.context.events, periodMs, work));
+    private addTask(name: string, periodMs: number, run: () => Promise<void>): void {
+        this.tasks.push(new RepeatingTask(name, this.context.clock, this.context.events, periodMs, run));
     }
 
-    /** Has the log know this ledger's incarnation, which seals the earlier ones. */
+    /** Registers this ledger's incarnation in the replicated log, which seals earlier incarnations. */
     private async registerLedger(): Promise<void> {
         const { log, ledger, name, zone } = this.context;
         if (log.state.budgets.tryGetLedger(ledger.id) !== undefined || !log.isConnectedToMajority()) {
@@ -113,21 +113,21 @@
         await log.propose({ type: "registerLedger", controller: name, zone, ledger: ledger.id });
     }
 
-    private async settleTopUps(): Promise<void> {
+    private async recoverAndProposeTopUps(): Promise<void> {
         const { log, ledger } = this.context;
         if (!log.isConnectedToMajority() || log.state.budgets.tryGetLedger(ledger.id) === undefined) {
             return;
         }
         if (this.mayHaveLostTopUps()) {
-            await this.topUps.recoverWitnessed();
+            await this.topUps.recoverTopUps();
         }
         else {
             this.topUps.skipRecovery();
         }
-        await this.topUps.proposePending();
+        await this.topUps.proposePendingTopUps();
     }
 
-    /** Whether an earlier incarnation of this ledger is known, whose disk is gone. */
+    /** Whether this controller has an earlier, sealed ledger incarnation whose disk was lost. */
     private mayHaveLostTopUps(): boolean {
         const { log, name } = this.context;
         return log.state.budgets.getLedgers().some(record =>
@@ -135,7 +135,7 @@
         );
     }
 
-    private async balanceShares(): Promise<void> {
+    private async rebalanceShares(): Promise<void> {
         const { log, ledger } = this.context;
         if (!log.isConnectedToMajority() || log.state.budgets.tryGetLedger(ledger.id)?.sealed !== false) {
             return;
@@ -148,7 +148,7 @@
         await this.ledgerService.reporter.report();
     }
 
-    private async compact(): Promise<void> {
+    private async compactJournal(): Promise<void> {
         const { ledger, clock, metrics } = this.context;
         metrics.setGauge("ledger.journal_bytes", ledger.getJournalSize());
         metrics.setGauge("ledger.overspent_tokens", ledger.overspent);
--- a/src/daemons/controller/operatorService.ts
+++ b/src/daemons/controller/operatorService.ts
@@ -1,4 +1,4 @@
-/** What operators can do: read and change declared objects, top budgets up, read the audit trail and the status. */
+/** Implements the operator API: declared objects, top-ups, the audit trail, bills and status. */
 import * as z from "zod";
 import type { BillRecord } from "../../domain/billBook.js";
 import { createRandomId } from "../../domain/identifiers.js";
@@ -23,14 +23,14 @@
 
 const putBody = z.strictObject({
     spec: z.record(z.string(), z.unknown()),
-    /** Revision the change was made on; 0 for an object that must be new; absent for whichever there is. */
+    /** Expected current revision; 0 if the object must not exist; absent to skip the check. */
     revision: z.int().min(0).optional(),
     operationId: z.string().min(1).max(128).optional(),
 });
 
 const topUpBody = topUpRequest.omit({ operator: true }).partial({ operationId: true, home: true });
 
-/** An accepted change. */
+/** Result of an accepted change. */
 export interface ChangeAnswer {
     readonly operationId: string;
     readonly revision: number;
@@ -47,19 +47,19 @@
     ) {}
 
     async list(kind: string, stale: boolean): Promise<(DeclaredObject & { status: unknown; })[]> {
-        const known = checkKind(kind);
-        await this.read(stale);
+        const parsedKind = parseKind(kind);
+        await this.prepareRead(stale);
         const fleet = await this.status.getStatus();
-        return this.context.log.state.objects.getAll(known).map(object => ({
+        return this.context.log.state.objects.getAll(parsedKind).map(object => ({
             ...object,
             status: this.status.createObjectStatus(object, fleet),
         }));
     }
 
     async get(kind: string, name: string, stale: boolean): Promise<DeclaredObject & { status: unknown; }> {
-        const known = checkKind(kind);
-        await this.read(stale);
-        const object = this.context.log.state.objects.tryGet(known, name);
+        const parsedKind = parseKind(kind);
+        await this.prepareRead(stale);
+        const object = this.context.log.state.objects.tryGet(parsedKind, name);
         if (object === undefined) {
             throw new RefusalError(createRefusal("objectUnknown", `${kind}/${name}`));
         }
@@ -67,18 +67,24 @@
     }
 
     async put(operator: string, kind: string, name: string, body: unknown): Promise<ChangeAnswer> {
-        const known = checkKind(kind);
-        const parsed = checkBody(putBody, body);
+        const parsedKind = parseKind(kind);
+        const parsed = parseBody(putBody, body);
         const operationId = parsed.operationId ?? createRandomId();
-        const spec = specSchemas[known].safeParse(parsed.spec);
+        const spec = specSchemas[parsedKind].safeParse(parsed.spec);
         if (!spec.success) {
-            return this.refuse(operator, operationId, "putObject", `${kind}/${name}`, z.prettifyError(spec.error));
+            return this.rejectChange(
+                operator,
+                operationId,
+                "putObject",
+                `${kind}/${name}`,
+                z.prettifyError(spec.error),
+            );
         }
-        return this.change({
+        return this.proposeChange({
             type: "putObject",
             operationId,
             operator,
-            kind: known,
+            kind: parsedKind,
             name,
             spec: spec.data as Record<string, unknown>,
             ...(parsed.revision === undefined ? {} : { expected: parsed.revision }),
@@ -92,18 +98,18 @@
         revision?: number,
         operationId?: string,
     ): Promise<ChangeAnswer> {
-        return this.change({
+        return this.proposeChange({
             type: "deleteObject",
             operationId: operationId ?? createRandomId(),
             operator,
-            kind: checkKind(kind),
+            kind: parseKind(kind),
             name,
             ...(revision === undefined ? {} : { expected: revision }),
         });
     }
 
     async topUp(operator: string, body: unknown): Promise<TopUpAnswer & { operationId: string; home: string; }> {
-        const parsed = checkBody(topUpBody, body);
+        const parsed = parseBody(topUpBody, body);
         const request = {
             ...parsed,
             operator,
@@ -111,7 +117,7 @@
             home: parsed.home ?? this.context.name,
         };
         try {
-            const answer = await this.topUps.topUp(request);
+            const answer = await this.topUps.handleTopUp(request);
             return { ...answer, operationId: request.operationId, home: request.home };
         }
         catch (error) {
@@ -129,7 +135,7 @@
         }
     }
 
-    /** Frees tokens that were written off in this controller's ledger. */
+    /** Makes tokens available again that this controller's ledger has written off as unaccounted. */
     async releaseUnaccounted(operator: string, budget: string, tokens: number): Promise<{ released: number; }> {
         const released = await this.context.ledger.releaseUnaccounted(budget, tokens);
         this.context.events.info("unaccounted_released", { operator, budget, tokens: released });
@@ -149,8 +155,8 @@
     }
 
     /**
-     * Calls back with the changes after `revision`, and again as there are more, until `isWanted` says no. A revision
-     * that is no longer kept gets a snapshot, marked as one.
+     * Sends the changes after `revision` and all later ones until `isWanted` returns false or watches are closed.
+     * Sends a snapshot if `revision` is 0 or the changes since then are no longer stored.
      */
     async watch(
         revision: number,
@@ -158,36 +164,36 @@
         send: (type: "snapshot" | "changes", changes: readonly ObjectChange[], revision: number) => void,
     ): Promise<void> {
         const { log } = this.context;
-        let sent = revision;
-        let first = true;
+        let sentRevision = revision;
+        let isFirst = true;
         while (isWanted() && !this.watchesClosed) {
-            const changes = sent === 0 ? undefined : log.state.objects.tryGetChangesSince(sent);
-            const now = log.state.objects.getRevision();
-            if (now > sent || first) {
+            const changes = sentRevision === 0 ? undefined : log.state.objects.tryGetChangesSince(sentRevision);
+            const currentRevision = log.state.objects.getRevision();
+            if (currentRevision > sentRevision || isFirst) {
                 send(
                     changes === undefined ? "snapshot" : "changes",
                     changes ?? log.state.objects.getSnapshotObjects(),
-                    now,
+                    currentRevision,
                 );
-                sent = Math.max(now, sent);
-                first = false;
+                sentRevision = Math.max(currentRevision, sentRevision);
+                isFirst = false;
             }
-            await log.waitApplied(log.getAppliedIndex() + 1, WATCH_TURN_MS).catch(() => undefined);
+            await log.waitApplied(log.getAppliedIndex() + 1, WATCH_WAIT_MS).catch(() => undefined);
         }
     }
 
-    /** Ends every watch, at its next turn. */
+    /** Makes every watch return within `WATCH_WAIT_MS`. */
     closeWatches(): void {
         this.watchesClosed = true;
     }
 
-    private async read(stale: boolean): Promise<void> {
+    private async prepareRead(stale: boolean): Promise<void> {
         if (!stale) {
             await this.context.log.readThroughMajority();
         }
     }
 
-    private async change(change: ObjectChangeRequest): Promise<ChangeAnswer> {
+    private async proposeChange(change: ObjectChangeRequest): Promise<ChangeAnswer> {
         const { log } = this.context;
         const object = `${change.kind}/${change.name}`;
         try {
@@ -215,7 +221,7 @@
         }
     }
 
-    private refuse(operator: string, operationId: string, action: string, object: string, detail: string): never {
+    private rejectChange(operator: string, operationId: string, action: string, object: string, detail: string): never {
         const refusal = createRefusal("objectInvalid", detail);
         this.audit.recordRefusal(
             { at: this.context.clock.getWallMs(), operator, operationId, action, object },
@@ -225,16 +231,16 @@
     }
 }
 
-const WATCH_TURN_MS = 1_000;
+const WATCH_WAIT_MS = 1_000;
 
-function checkKind(kind: string): Kind {
+function parseKind(kind: string): Kind {
     if (!isKind(kind)) {
         throw new RefusalError(createRefusal("kindUnknown", kind));
     }
     return kind;
 }
 
-function checkBody<T>(schema: z.ZodType<T>, body: unknown): T {
+function parseBody<T>(schema: z.ZodType<T>, body: unknown): T {
     const parsed = schema.safeParse(body);
     if (!parsed.success) {
         throw new RefusalError(createRefusal("objectInvalid", z.prettifyError(parsed.error)));
--- a/src/daemons/controller/topUpService.ts
+++ b/src/daemons/controller/topUpService.ts
@@ -1,7 +1,7 @@
 /**
- * Top-ups. Each has a home: the one ledger that accepts it, so that a resend that lands anywhere else is sent home and
- * never credited twice. A budget says how many copies make a top-up spendable: a majority of the disks, or, so that a
- * zone that is cut off can be topped up too, the home's disk and the memory of a sidecar in its zone.
+ * Accepts top-ups. Each is stored only by its home controller; the others forward it there, so that a resent top-up is
+ * not credited twice. Depending on the budget, a top-up becomes spendable once a majority has stored it, or once it is
+ * on the home's disk and in the memory of a sidecar in the same zone, which also works in a partitioned zone.
  */
 import type { StoredTopUp } from "../../domain/ledger.js";
 import type { TopUpRequest } from "../../domain/objects.js";
@@ -13,29 +13,29 @@
 
 const WITNESS_TIMEOUT_MS = 500;
 const FORWARD_TIMEOUT_MS = 6_000;
-/** Sidecars asked to hold a copy. */
-const WITNESSES_ASKED = 3;
+/** Maximum number of sidecars that are asked to store a copy. */
+const MAX_WITNESSES = 3;
 const RETRY_AFTER_MS = 1_000;
 
 export class TopUpService {
-    private recovered: boolean;
+    private isRecoveryComplete: boolean;
 
     constructor(
         private readonly context: ControllerContext,
-        /** Whether this start found the disk empty, so that an earlier incarnation may have left witnessed top-ups. */
+        /** Whether the disk was empty at startup, so that sidecars may hold top-ups of an earlier incarnation. */
         startedEmpty: boolean,
     ) {
-        this.recovered = !startedEmpty;
+        this.isRecoveryComplete = !startedEmpty;
     }
 
     addHandlers(handlers: PeerHandlers): void {
-        handlers.add(topUpMethod, request => this.topUp(request));
+        handlers.add(topUpMethod, request => this.handleTopUp(request));
     }
 
-    /** Takes a top-up, or sends it home. */
-    async topUp(request: TopUpRequest): Promise<TopUpAnswer> {
+    /** Stores a top-up, or forwards it to its home controller. */
+    async handleTopUp(request: TopUpRequest): Promise<TopUpAnswer> {
         if (request.home !== this.context.name) {
-            return this.forward(request);
+            return this.forwardToHome(request);
         }
         const budget = this.context.log.state.objects.tryGet("budget", request.budget);
         if (budget === undefined) {
@@ -48,22 +48,22 @@
         if (known !== undefined) {
             return this.createAnswer(request.operationId);
         }
-        return this.store(request, budget.spec.topUpCopies);
+        return this.storeTopUp(request, budget.spec.topUpCopies);
     }
 
-    /** Proposes what the log does not hold yet. */
-    async proposePending(): Promise<void> {
+    /** Proposes stored top-ups that are not in the replicated log yet. */
+    async proposePendingTopUps(): Promise<void> {
         for (const topUp of this.context.ledger.getPendingTopUps()) {
-            await this.propose(topUp);
+            await this.proposeTopUp(topUp);
         }
     }
 
     /**
-     * After a lost disk: asks the zone's sidecars for top-ups that the earlier incarnation made spendable, and has the
-     * log credit them to its sealed share, so that a resend is recognised.
+     * After a disk loss, reads top-ups of earlier incarnations from the zone's sidecars and credits them to the sealed
+     * shares, so that resent top-ups are recognized as duplicates.
      */
-    async recoverWitnessed(): Promise<void> {
-        if (this.recovered) {
+    async recoverTopUps(): Promise<void> {
+        if (this.isRecoveryComplete) {
             return;
         }
         const { name, network } = this.context;
@@ -75,18 +75,18 @@
                 WITNESS_TIMEOUT_MS,
             );
             for (const topUp of answer.topUps) {
-                await this.creditWitnessed(topUp);
+                await this.creditRecoveredTopUp(topUp);
             }
         }
-        this.recovered = true;
+        this.isRecoveryComplete = true;
     }
 
-    /** Says that no earlier incarnation can have left anything to recover. */
+    /** Marks recovery as complete if there is no earlier incarnation to recover from. */
     skipRecovery(): void {
-        this.recovered = true;
+        this.isRecoveryComplete = true;
     }
 
-    private async creditWitnessed(topUp: WitnessedTopUp): Promise<void> {
+    private async creditRecoveredTopUp(topUp: WitnessedTopUp): Promise<void> {
         const { log, ledger } = this.context;
         const known = log.state.budgets.tryGetTopUp(topUp.operationId) ?? ledger.tryGetTopUp(topUp.operationId);
         if (known !== undefined) {
@@ -105,7 +105,7 @@
         this.context.events.info("top_up_recovered", { operation: operationId, budget, tokens, ledger: topUp.ledger });
     }
 
-    private async forward(request: TopUpRequest): Promise<TopUpAnswer> {
+    private async forwardToHome(request: TopUpRequest): Promise<TopUpAnswer> {
         const home = this.context.controllers.find(controller => controller.name === request.home);
         if (home === undefined) {
             throw new RefusalError(createRefusal("objectInvalid", `no controller is named ${request.home}`));
@@ -123,13 +123,13 @@
         }
     }
 
-    private async store(request: TopUpRequest, copies: StoredTopUp["copies"]): Promise<TopUpAnswer> {
+    private async storeTopUp(request: TopUpRequest, copies: StoredTopUp["copies"]): Promise<TopUpAnswer> {
         const { ledger } = this.context;
-        if (copies === "zoneWitness" && !this.recovered) {
+        if (copies === "zoneWitness" && !this.isRecoveryComplete) {
             throw new RefusalError(
                 createRefusal(
                     "notReady",
-                    "top-ups of an earlier incarnation are not recovered yet",
+                    "top-ups of an earlier ledger incarnation have not been recovered yet",
                     "no",
                     RETRY_AFTER_MS,
                 ),
@@ -142,11 +142,11 @@
         if (refusal !== undefined) {
             throw new RefusalError(refusal);
         }
-        const witnesses = stored.copies === "zoneWitness" ? await this.askWitnesses(request) : 0;
+        const witnesses = stored.copies === "zoneWitness" ? await this.storeWitnessCopies(request) : 0;
         if (witnesses > 0) {
             await ledger.markTopUpSpendable(operationId);
         }
-        await this.propose(ledger.tryGetTopUp(operationId)!).catch(error => {
+        await this.proposeTopUp(ledger.tryGetTopUp(operationId)!).catch(error => {
             this.context.events.warn("top_up_not_logged", {
                 operation: operationId,
                 reason: formatRefusal(getRefusal(error)),
@@ -167,10 +167,10 @@
         throw new RefusalError(createRefusal("topUpWaiting", detail, "yes", RETRY_AFTER_MS));
     }
 
-    private async propose(topUp: StoredTopUp): Promise<void> {
+    private async proposeTopUp(topUp: StoredTopUp): Promise<void> {
         const { log, ledger, name } = this.context;
         const { operationId, operator, budget, tokens } = topUp;
-        // A top-up that may be spent here before the log has it must be credited here, whatever becomes of the answer.
+        // A zone-witnessed top-up may be spent from this ledger before it is in the log, so it must be credited here.
         const ledgerId = topUp.copies === "zoneWitness" ? { ledger: ledger.id } : {};
         const answer = await log.propose({
             type: "creditTopUp",
@@ -184,13 +184,13 @@
         await log.waitApplied(answer.index, FORWARD_TIMEOUT_MS);
     }
 
-    private async askWitnesses(request: TopUpRequest): Promise<number> {
+    private async storeWitnessCopies(request: TopUpRequest): Promise<number> {
         const { operationId, operator, budget, tokens } = request;
         const copy: WitnessedTopUp = { ledger: this.context.ledger.id, operationId, operator, budget, tokens };
-        const asked = this.getZoneSidecars().slice(0, WITNESSES_ASKED).map(sidecar =>
+        const calls = this.getZoneSidecars().slice(0, MAX_WITNESSES).map(sidecar =>
             this.context.network.call(sidecar.address, holdWitnessMethod, copy, WITNESS_TIMEOUT_MS)
         );
-        const answers = await Promise.allSettled(asked);
+        const answers = await Promise.allSettled(calls);
         return answers.filter(answer => answer.status === "fulfilled").length;
     }
 
--- a/test/domain/topUpRecovery.test.ts
+++ b/test/domain/topUpRecovery.test.ts
@@ -1,4 +1,4 @@
-/** A home that lost its disk recognises what it had made spendable before, by its zone's sidecars. */
+/** Guards against crediting a top-up twice that is resent after its home controller lost its disk. */
 import t from "tap";
 import type { ControllerContext } from "../../src/daemons/controller/fleetView.js";
 import { TopUpService } from "../../src/daemons/controller/topUpService.js";
@@ -9,36 +9,36 @@
 import { holdWitnessMethod, listWitnessMethod, type WitnessedTopUp } from "../../src/protocol/runMethods.js";
 import { FakeClock, FakeJournal } from "../tools/fakes.js";
 
-class LogShare extends ShareSource {
-    constructor(private readonly ledger: string, private readonly book: BudgetBook) {
+class BudgetShareSource extends ShareSource {
+    constructor(private readonly ledger: string, private readonly budgets: BudgetBook) {
         super();
     }
     override getAllotted(budget: string): number {
-        return this.book.tryGetShare(budget, this.ledger)?.allottedTotal ?? 0;
+        return this.budgets.tryGetShare(budget, this.ledger)?.allottedTotal ?? 0;
     }
     override hasTopUp(operationId: string): boolean {
-        return this.book.tryGetTopUp(operationId) !== undefined;
+        return this.budgets.tryGetTopUp(operationId) !== undefined;
     }
 }
 
-class World {
-    readonly book = new BudgetBook();
+class TopUpFixture {
+    readonly budgets = new BudgetBook();
     readonly witnessed: WitnessedTopUp[] = [];
     connected = true;
 
     createHome(incarnation: number, startedEmpty: boolean): TopUpService {
         const id = `home#${incarnation}`;
-        this.book.applyRegisterLedger({ type: "registerLedger", controller: "home", zone: "z", ledger: id });
+        this.budgets.applyRegisterLedger({ type: "registerLedger", controller: "home", zone: "z", ledger: id });
         const context = {
             name: "home",
             zone: "z",
             controllers: [],
-            ledger: new Ledger(id, new FakeJournal(true), new LogShare(id, this.book)),
+            ledger: new Ledger(id, new FakeJournal(true), new BudgetShareSource(id, this.budgets)),
             clock: new FakeClock(),
             events: new NoLog(),
             log: {
                 state: {
-                    budgets: this.book,
+                    budgets: this.budgets,
                     objects: {
                         tryGet: () => ({ spec: { topUpCopies: "zoneWitness" } }),
                         getAll: () => [{ spec: { sidecar: "s", box: "b", zone: "z" } }],
@@ -60,7 +60,7 @@
         if (!this.connected || command.type !== "creditTopUp") {
             return Promise.reject(new Error("no majority"));
         }
-        return Promise.resolve({ index: 1, result: this.book.applyCreditTopUp(command) });
+        return Promise.resolve({ index: 1, result: this.budgets.applyCreditTopUp(command) });
     }
 
     private callSidecar(method: string, params: unknown): Promise<unknown> {
@@ -73,23 +73,23 @@
 
 const request = { operationId: "op", operator: "o", budget: "b", tokens: 500, home: "home" };
 
-void t.test("a resend to a home with a new disk is not credited again", async t => {
-    const world = new World();
-    const first = world.createHome(0, false);
-    world.connected = false;
-    t.match(await first.topUp(request), { spendable: true, replicas: 1, witnesses: 1 });
+void t.test("a top-up resent after a disk loss is not credited twice", async t => {
+    const fixture = new TopUpFixture();
+    const first = fixture.createHome(0, false);
+    fixture.connected = false;
+    t.match(await first.handleTopUp(request), { spendable: true, replicas: 1, witnesses: 1 });
 
-    const second = world.createHome(1, true);
-    await t.rejects(second.topUp(request), { message: /notReady/ }, "not before it knows what it had made spendable");
-    world.connected = true;
-    await second.recoverWitnessed();
-    t.match(await second.topUp(request), { spendable: true });
-    const account = world.book.tryGetBudget("b")!;
+    const second = fixture.createHome(1, true);
+    await t.rejects(second.handleTopUp(request), { message: /notReady/ }, "refused until recovery is complete");
+    fixture.connected = true;
+    await second.recoverTopUps();
+    t.match(await second.handleTopUp(request), { spendable: true });
+    const account = fixture.budgets.tryGetBudget("b")!;
     t.equal(account.toppedUp, 500);
     t.equal(
         account.shares["home#0"]!.allottedTotal,
         500,
-        "it lies in the sealed share: the lost disk may have spent it",
+        "credited to the sealed share, because it may have been spent before the disk loss",
     );
     t.equal(account.shares["home#1"]?.allottedTotal ?? 0, 0);
 });
