--- a/src/bundleWiring.ts
+++ b/src/bundleWiring.ts
@@ -1,4 +1,4 @@
-/** Makes the running roles that serve declared bundles out of settings; the other roles' wiring is in wiring.ts. */
+/** Composition root of the roles that serve bundles. The other roles are composed in wiring.ts. */
 import { mkdir } from "node:fs/promises";
 import { join } from "node:path";
 import { openJournalFile } from "./adapters/disk/journalFile.js";
@@ -22,41 +22,41 @@
 import type { DirectUpstreams } from "./ports/directUpstream.js";
 import type { Log } from "./ports/log.js";
 import type { Metrics } from "./ports/metrics.js";
-import { closeBase, createBase, type RoleBase } from "./roleBase.js";
+import { closeRoleBase, createRoleBase, type RoleBase } from "./roleBase.js";
 
-/** What a process needs to know to run a role that serves bundles. Times in milliseconds. */
+/** Settings common to the roles that serve bundles. */
 export interface BundleRoleSettings {
     readonly name: string;
     readonly zone: string;
     readonly fleetSecret: string;
     readonly logLevel: "info" | "warn" | "error";
-    /** Peer addresses of controllers to begin with. */
+    /** Peer addresses of the controllers to contact first. */
     readonly seeds: readonly string[];
     readonly decoder: BundleDecoder;
     readonly metrics?: Metrics;
 }
 
-/** Settings of a controller that keeps bundles. Times in milliseconds. */
+/** Settings of a controller that stores bundles. */
 export interface BundleControllerSettings extends BundleRoleSettings {
-    /** Where the system's other processes reach this one. */
+    /** HOST:PORT on which other processes connect to this one. */
     readonly peerAddress: string;
     readonly dataFolder: string;
-    /** The whole fleet starts for the first time; the controllers at the seeds found the log. */
+    /** Whether to create a new replicated log whose first voters are the controllers in `seeds`. */
     readonly isFirstStart: boolean;
     readonly electionTimeoutMs: number;
     readonly heartbeatMs: number;
     readonly proposeTimeoutMs: number;
-    /** Entries applied between snapshots. */
+    /** Number of entries applied between snapshots. */
     readonly snapshotEvery: number;
-    /** Pause before a write that the disk refused is tried again. */
+    /** Delay before a failed disk write is retried. */
     readonly retryWriteMs: number;
-    /** A replica that has been silent for so long may be removed. */
+    /** Time without contact after which a replica may be removed. */
     readonly removeReplicaAfterMs: number;
-    /** Voting replicas that must answer for a silent one to be removed. */
+    /** Number of voters that must be reachable before an unreachable one is removed. */
     readonly minimumLiveReplicas: number;
 }
 
-/** Settings of a router that reaches its upstreams itself, by the part that goes by them. */
+/** Settings of a router that connects to its upstreams directly, grouped by component. */
 export interface DirectRouterSettings extends BundleRoleSettings {
     readonly router: DirectRouterOptions;
     readonly load: UpstreamLoadOptions;
@@ -67,27 +67,27 @@
     readonly upstreams: DirectUpstreams;
 }
 
-/** A running role and its daemon, for whoever serves it to the outside. */
+/** A running role and its daemon. */
 export interface RunningBundleRole<T> {
     readonly daemon: T;
     readonly log: Log;
-    /** A planned stop: resolves when what it held has been given back and closed. */
+    /** Shuts down gracefully; resolves when all resources are released. */
     stop(): Promise<void>;
 }
 
-/** Starts a controller that keeps bundles. Its interface to upstreams and operators is the caller's to open. */
+/** Starts a controller that stores bundles, without its server for upstreams and operators. */
 export async function startBundleController(
     settings: BundleControllerSettings,
 ): Promise<RunningBundleRole<BundleControllerDaemon>> {
     await mkdir(settings.dataFolder, { recursive: true });
-    const base = await createBase({ ...settings, role: "controller", listen: settings.peerAddress });
+    const base = await createRoleBase({ ...settings, role: "controller", listen: settings.peerAddress });
     const { clock, log, network, handlers, loop, peerAddress } = base;
     const journal = await openJournalFile(join(settings.dataFolder, "log.journal"), {
         retryWriteMs: settings.retryWriteMs,
         onRefused: error => log.warn("disk_refused_write", { error: String(error) }),
     });
-    const founders = settings.isFirstStart ? settings.seeds : [];
-    const replica = createReplica(new LogStorage(journal), founders, settings, base);
+    const initialReplicas = settings.isFirstStart ? settings.seeds : [];
+    const replica = createReplica(new LogStorage(journal), initialReplicas, settings, base);
     const keeper = createReplicaSetKeeper(replica, settings, base);
     const { seeds, decoder } = settings;
     const daemon = new BundleControllerDaemon(replica, keeper, decoder, network, clock, log, loop, {
@@ -96,31 +96,35 @@
     });
     daemon.addHandlers(handlers);
     daemon.start();
-    log.info("controller_started", { peer: peerAddress, torn_bytes: journal.tornBytes, founder: founders.length > 0 });
+    log.info("controller_started", {
+        peer: peerAddress,
+        torn_bytes: journal.tornBytes,
+        founder: initialReplicas.length > 0,
+    });
     return {
         daemon,
         log,
         stop: async () => {
             await daemon.stop();
-            closeBase(base);
+            closeRoleBase(base);
         },
     };
 }
 
-/** `founders`: addresses of the replicas that the log begins with; empty where there is a log to join. */
+/** `initialReplicas`: addresses of the first voters of a new log; empty when joining an existing one. */
 function createReplica(
     storage: LogStorage,
-    founders: readonly string[],
+    initialReplicas: readonly string[],
     settings: BundleControllerSettings,
     { clock, log, network, peerAddress }: RoleBase,
 ): ReplicatedLog {
     return new ReplicatedLog(storage, network, clock, log, {
-        // The address names a replica: a box that takes another's place has an address of its own.
+        // Replicas are identified by address, so a replacement box counts as a new replica.
         name: peerAddress,
         address: peerAddress,
-        others: founders.filter(address => address !== peerAddress).map(address => ({ name: address, address })),
-        isFounder: founders.includes(peerAddress),
-        isFirstStart: founders.includes(peerAddress),
+        others: initialReplicas.filter(address => address !== peerAddress).map(address => ({ name: address, address })),
+        isFounder: initialReplicas.includes(peerAddress),
+        isFirstStart: initialReplicas.includes(peerAddress),
         electionTimeoutMs: settings.electionTimeoutMs,
         heartbeatMs: settings.heartbeatMs,
         proposeTimeoutMs: settings.proposeTimeoutMs,
@@ -143,11 +147,11 @@
     });
 }
 
-/** Starts a router that reaches its upstreams itself. Its interface to callers is the caller's to open. */
+/** Starts a router that connects to its upstreams directly, without its server for callers. */
 export async function startDirectRouter(
     settings: DirectRouterSettings,
 ): Promise<RunningBundleRole<DirectRouterDaemon>> {
-    const base = await createBase({ ...settings, role: "router", listen: settings.router.address });
+    const base = await createRoleBase({ ...settings, role: "router", listen: settings.router.address });
     const { clock, log, metrics, network, handlers, loop, identity } = base;
     const self = { address: settings.router.address, zone: settings.zone };
     const holders = new TokenHolders(self);
@@ -192,7 +196,7 @@
         log,
         stop: async () => {
             await daemon.finishStop();
-            closeBase(base);
+            closeRoleBase(base);
         },
     };
 }
--- a/src/index.ts
+++ b/src/index.ts
@@ -1,7 +1,4 @@
-/**
- * The library: the roles as functions, what they are given, and the parts that tests and other programs build on. The
- * daemons of the command line are made of nothing else.
- */
+/** Public API: functions that start each role, their settings, and utilities for tests and other programs. */
 export { AllocationPolicy, EqualSplitPolicy, FollowDemandPolicy } from "./domain/allocationPolicy.js";
 export { createAccountKey, createKeyHash, isKeyValid } from "./domain/keys.js";
 export type {
--- a/src/roleBase.ts
+++ b/src/roleBase.ts
@@ -1,4 +1,4 @@
-/** What every role of the fleet is built on: its identity, log, metrics and network. */
+/** Components common to all roles: identity, log, metrics and network. */
 import { readFile } from "node:fs/promises";
 import { KeyValueLog } from "./adapters/keyValueLog.js";
 import { parseAddress, TcpNetwork } from "./adapters/rpc/tcpNetwork.js";
@@ -11,9 +11,8 @@
 import { PeerHandlers, type PeerIdentity } from "./ports/peer.js";
 import type { CommonSettings } from "./settings/schemas.js";
 
-/** The parts that a role is built from. */
 export interface RoleBase {
-    /** New at each start. */
+    /** The incarnation in it is generated at each start. */
     readonly identity: PeerIdentity;
     readonly clock: SystemClock;
     readonly log: Log;
@@ -21,20 +20,19 @@
     readonly handlers: PeerHandlers;
     readonly loop: LoopWatch;
     readonly network: TcpNetwork;
-    /** HOST:PORT where other processes reach it; the port is the one that was opened. */
+    /** HOST:PORT on which other processes connect; the port is the one actually bound. */
     readonly peerAddress: string;
 }
 
-/** What the base of a role needs from its settings. */
-export type BaseSettings =
+export type RoleBaseSettings =
     & Pick<CommonSettings, "name" | "zone" | "role" | "logLevel" | "listen">
     & Partial<CommonSettings>
     & {
         readonly metrics?: Metrics;
     };
 
-/** Opens the network and what else a role needs. Throws settingsInvalid where the fleet has no secret. */
-export async function createBase(settings: BaseSettings): Promise<RoleBase> {
+/** Starts listening and creates the common components. Throws settingsInvalid if no fleet secret is configured. */
+export async function createRoleBase(settings: RoleBaseSettings): Promise<RoleBase> {
     const { name, zone, role } = settings;
     const identity: PeerIdentity = { name, role, zone, incarnation: createRandomId() };
     const log = new KeyValueLog({ role, name, zone }, settings.logLevel);
@@ -44,21 +42,21 @@
     const handlers = new PeerHandlers(() => loop.noteWork("calls"));
     const secret = await readFleetSecret(settings);
     const network = new TcpNetwork({ identity, secret, handlers, log, addressMap: settings.addressMap ?? {} });
-    const { host, port: asked } = parseAddress(settings.listen);
-    const port = await network.listen(host, asked);
+    const { host, port: requestedPort } = parseAddress(settings.listen);
+    const port = await network.listen(host, requestedPort);
     const peerAddress = `${settings.listen.slice(0, settings.listen.lastIndexOf(":"))}:${port}`;
     loop.start();
     return { identity, clock, log, metrics, handlers, loop, network, peerAddress };
 }
 
-/** Closes what `createBase` opened. */
-export function closeBase(base: RoleBase): void {
+/** Stops everything that `createRoleBase` started. */
+export function closeRoleBase(base: RoleBase): void {
     base.loop.stop();
     base.network.close();
     base.metrics.close();
 }
 
-async function createMetrics({ statsd, metrics, role, name, zone }: BaseSettings): Promise<Metrics> {
+async function createMetrics({ statsd, metrics, role, name, zone }: RoleBaseSettings): Promise<Metrics> {
     if (statsd === undefined) {
         return metrics ?? new NoMetrics();
     }
@@ -71,7 +69,7 @@
         return settings.fleetSecret;
     }
     if (settings.fleetSecretFile === undefined) {
-        throw new RefusalError(createRefusal("settingsInvalid", "fleetSecret or fleetSecretFile is needed"));
+        throw new RefusalError(createRefusal("settingsInvalid", "either fleetSecret or fleetSecretFile is required"));
     }
     return (await readFile(settings.fleetSecretFile, "utf8")).trim();
 }
--- a/src/wiring.ts
+++ b/src/wiring.ts
@@ -1,7 +1,6 @@
 /**
- * Makes running roles out of settings; those that serve declared bundles have theirs in bundleWiring.ts. Nothing else
- * constructs. What only some roles need (nestjs and fastify, some 45 MB) is imported where it is used, so that a
- * sidecar's slot does not pay for it.
+ * Composition root of the roles. Those that serve bundles are composed in bundleWiring.ts. Modules that only some roles
+ * need, such as nestjs and fastify, are imported dynamically to keep the memory footprint of a sidecar small.
  */
 import { mkdir } from "node:fs/promises";
 import { join } from "node:path";
@@ -29,27 +28,25 @@
 import { UpstreamChooser } from "./domain/upstreamChooser.js";
 import type { Log } from "./ports/log.js";
 import { type MembershipSource, NoMembership } from "./ports/membership.js";
-import { closeBase, createBase, type RoleBase } from "./roleBase.js";
+import { closeRoleBase, createRoleBase, type RoleBase } from "./roleBase.js";
 import type { ControllerSettings, RouterSettings, SidecarSettings } from "./settings/schemas.js";
 
-/** A role that is running in this process. */
 export interface RunningRole {
-    /** Where other processes reach it. */
+    /** HOST:PORT on which other processes connect; empty for stand-ins. */
     readonly peerAddress: string;
-    /** Where callers or operators reach it; empty for a role that they do not. */
+    /** HOST:PORT of the HTTP server for callers or operators; empty for a role without one. */
     readonly httpAddress: string;
-    /** A planned stop: resolves when everything in flight has ended. */
+    /** Shuts down gracefully; resolves when all requests in flight have ended. */
     stop(): Promise<void>;
 }
 
-/** Starts a controller. */
 export async function startController(settings: ControllerSettings): Promise<RunningRole> {
     await mkdir(settings.dataFolder, { recursive: true });
-    const base = await createBase(settings);
+    const base = await createRoleBase(settings);
     const { clock, log, metrics, network, handlers } = base;
     const journals = await openControllerJournals(settings.dataFolder, log);
     const storage = new LogStorage(journals.log);
-    const replicated = new ReplicatedLog(storage, network, clock, log, {
+    const replicatedLog = new ReplicatedLog(storage, network, clock, log, {
         name: settings.name,
         others: settings.controllers.filter(controller => controller.name !== settings.name),
         electionTimeoutMs: settings.electionTimeoutMs,
@@ -58,13 +55,13 @@
         snapshotEvery: settings.snapshotEvery,
         random: Math.random,
     });
-    const opened = await openLedger(journals.ledger, settings.name, replicated);
+    const openedLedger = await openLedger(journals.ledger, settings.name, replicatedLog);
     const context: ControllerContext = {
         name: settings.name,
         zone: settings.zone,
         controllers: settings.controllers,
-        log: replicated,
-        ledger: opened.ledger,
+        log: replicatedLog,
+        ledger: openedLedger.ledger,
         network,
         clock,
         events: log,
@@ -74,7 +71,7 @@
     const audit = new AuditTrail(journals.audit, log);
     const daemon = new ControllerDaemon(context, handlers, intents, audit, {
         ...settings,
-        startedEmpty: opened.startedEmpty,
+        startedEmpty: openedLedger.startedEmpty,
         membership: await createMembership(settings.membershipUrl),
     });
     const { startHttpApp } = await import("./adapters/http/httpApp.js");
@@ -91,8 +88,8 @@
     log.info("controller_started", {
         peer: base.peerAddress,
         operators: http.address,
-        ledger: opened.ledger.id,
-        started_empty: opened.startedEmpty,
+        ledger: openedLedger.ledger.id,
+        started_empty: openedLedger.startedEmpty,
     });
     return {
         peerAddress: base.peerAddress,
@@ -101,7 +98,7 @@
             daemon.closeWatches();
             await http.close();
             await daemon.stop();
-            closeBase(base);
+            closeRoleBase(base);
         },
     };
 }
@@ -133,9 +130,8 @@
     };
 }
 
-/** Starts a router. */
 export async function startRouter(settings: RouterSettings): Promise<RunningRole> {
-    const base = await createBase(settings);
+    const base = await createRoleBase(settings);
     const { clock, log, metrics, network, handlers, identity } = base;
     const controllers = sortByZone(settings.controllers, settings.zone);
     const view = new ConfigView();
@@ -192,15 +188,14 @@
             await http.close();
             await daemon.finishStop();
             config.stop();
-            closeBase(base);
+            closeRoleBase(base);
         },
     };
 }
 
-/** Starts a sidecar. */
 export async function startSidecar(settings: SidecarSettings): Promise<RunningRole> {
     const { HttpUpstream } = await import("./adapters/upstream/httpUpstream.js");
-    const base = await createBase(settings);
+    const base = await createRoleBase(settings);
     const { clock, log, metrics, network, handlers, identity } = base;
     const config = createConfigClient(base, settings, new ConfigView(), () => daemon.getFigures());
     const daemon: SidecarDaemon = new SidecarDaemon(config, network, handlers, clock, log, metrics, {
@@ -221,7 +216,7 @@
         stop: async () => {
             await daemon.stop();
             config.stop();
-            closeBase(base);
+            closeRoleBase(base);
         },
     };
 }
