--- a/src/settings/jsoncFile.ts
+++ b/src/settings/jsoncFile.ts
@@ -1,11 +1,11 @@
-/** Reads files of JSON with comments, and says for each fault its line and column. */
+/** Reads JSON with comments and reports errors with line and column. */
 import { findNodeAtLocation, type Node, type ParseError, parseTree, printParseErrorCode } from "jsonc-parser";
 import { err, ok, type Result } from "neverthrow";
 import { readFile } from "node:fs/promises";
 import type * as z from "zod";
 import { createRefusal, type Refusal } from "../domain/resultCodes.js";
 
-/** A parsed file with what is needed to point into it. */
+/** A parsed file with the text and syntax tree needed to locate errors. */
 export interface JsoncFile {
     readonly path: string;
     readonly text: string;
@@ -13,7 +13,7 @@
     readonly root: Node;
 }
 
-/** Reads and parses a file. Every syntax fault is told, with its place. */
+/** Reads and parses a file. The error lists every syntax error with its location. */
 export async function readJsoncFile(path: string): Promise<Result<JsoncFile, Refusal>> {
     let text: string;
     try {
@@ -25,45 +25,47 @@
     return parseJsonc(path, text);
 }
 
-/** Parses text as JSON with comments. */
+/** Parses text as JSON with comments. Trailing commas are allowed. */
 export function parseJsonc(path: string, text: string): Result<JsoncFile, Refusal> {
     const errors: ParseError[] = [];
     const root = parseTree(text, errors, { allowTrailingComma: true });
     if (errors.length > 0 || root === undefined) {
-        const faults = errors.map(error =>
-            `${formatPlace(path, text, error.offset)}: ${printParseErrorCode(error.error)}`
+        const messages = errors.map(error =>
+            `${formatLocation(path, text, error.offset)}: ${printParseErrorCode(error.error)}`
         );
         return err(
-            createRefusal("settingsSyntax", faults.length > 0 ? faults.join("\n") : `${path}: the file is empty`),
+            createRefusal("settingsSyntax", messages.length > 0 ? messages.join("\n") : `${path}: the file is empty`),
         );
     }
     return ok({ path, text, value: getNodeValue(root), root });
 }
 
-/** Checks a file's content, or the part at `at`, against a schema. Every fault is told at once, with its place. */
+/** Validates a file, or the value at `basePath`, against a schema. The error lists every issue with its location. */
 export function checkJsonc<T>(
     file: JsoncFile,
     schema: z.ZodType<T>,
-    at: readonly (string | number)[] = [],
+    basePath: readonly (string | number)[] = [],
 ): Result<T, Refusal> {
-    const part = at.length === 0 ? file.root : findNodeAtLocation(file.root, [...at]);
-    const parsed = schema.safeParse(part === undefined ? undefined : getNodeValue(part));
+    const node = basePath.length === 0 ? file.root : findNodeAtLocation(file.root, [...basePath]);
+    const parsed = schema.safeParse(node === undefined ? undefined : getNodeValue(node));
     if (parsed.success) {
         return ok(parsed.data);
     }
-    const faults = parsed.error.issues.map(issue => formatIssue(file, [...at, ...issue.path.map(toPathPart)], issue));
-    return err(createRefusal("settingsInvalid", faults.join("\n")));
+    const messages = parsed.error.issues.map(issue =>
+        formatIssue(file, [...basePath, ...issue.path.map(toPathSegment)], issue)
+    );
+    return err(createRefusal("settingsInvalid", messages.join("\n")));
 }
 
 function formatIssue(file: JsoncFile, path: (string | number)[], issue: z.core.$ZodIssue): string {
     const unknownKey = issue.code === "unrecognized_keys" ? issue.keys[0] : undefined;
-    const node = findNode(file.root, unknownKey === undefined ? path : [...path, unknownKey]);
+    const node = findNearestNode(file.root, unknownKey === undefined ? path : [...path, unknownKey]);
     const name = path.length === 0 ? "(top)" : path.join(".");
-    return `${formatPlace(file.path, file.text, node.offset)}: ${name}: ${issue.message}`;
+    return `${formatLocation(file.path, file.text, node.offset)}: ${name}: ${issue.message}`;
 }
 
-/** The node at a path, or the nearest one around it. */
-function findNode(root: Node, path: readonly (string | number)[]): Node {
+/** Finds the node at a path, or its nearest existing ancestor. */
+function findNearestNode(root: Node, path: readonly (string | number)[]): Node {
     for (let length = path.length; length > 0; length--) {
         const node = findNodeAtLocation(root, path.slice(0, length));
         if (node !== undefined) {
@@ -73,13 +75,13 @@
     return root;
 }
 
-function toPathPart(part: PropertyKey): string | number {
+function toPathSegment(part: PropertyKey): string | number {
     return typeof part === "symbol" ? String(part) : part;
 }
 
-function formatPlace(path: string, text: string, offset: number): string {
-    const before = text.slice(0, offset).split("\n");
-    return `${path}:${before.length}:${before[before.length - 1]!.length + 1}`;
+function formatLocation(path: string, text: string, offset: number): string {
+    const precedingLines = text.slice(0, offset).split("\n");
+    return `${path}:${precedingLines.length}:${precedingLines[precedingLines.length - 1]!.length + 1}`;
 }
 
 function getNodeValue(node: Node): unknown {
--- a/src/settings/roleFile.ts
+++ b/src/settings/roleFile.ts
@@ -1,18 +1,17 @@
-/** Reads the settings file of a role. */
 import { err, type Result } from "neverthrow";
 import { createRefusal, type Refusal } from "../domain/resultCodes.js";
 import { checkJsonc, readJsoncFile } from "./jsoncFile.js";
 import { type Role, type RoleSettings, roleSettings } from "./schemas.js";
 
-/** Reads and checks a file. `role`: what it must be for; absent takes the role the file names. */
+/** Reads and validates a settings file. `role`: the expected role; defaults to the role that the file specifies. */
 export async function readRoleSettings(path: string, role?: Role): Promise<Result<RoleSettings, Refusal>> {
     const file = await readJsoncFile(path);
     if (file.isErr()) {
         return err(file.error);
     }
-    const named = (file.value.value as { role?: unknown; } | undefined)?.role;
-    const wanted = role ?? named;
-    if (typeof wanted !== "string" || !(wanted in roleSettings)) {
+    const declaredRole = (file.value.value as { role?: unknown; } | undefined)?.role;
+    const expectedRole = role ?? declaredRole;
+    if (typeof expectedRole !== "string" || !(expectedRole in roleSettings)) {
         return err(
             createRefusal(
                 "settingsInvalid",
@@ -20,5 +19,5 @@
             ),
         );
     }
-    return checkJsonc<RoleSettings>(file.value, roleSettings[wanted as Role] as never);
+    return checkJsonc<RoleSettings>(file.value, roleSettings[expectedRole as Role] as never);
 }
--- a/src/settings/schemas.ts
+++ b/src/settings/schemas.ts
@@ -1,106 +1,108 @@
-/** The settings of each role. Schemas first; every type is inferred from its schema. All times in milliseconds. */
+/** Schemas of the settings of each role. All times are in milliseconds. */
 import * as z from "zod";
 import { nameSchema } from "../domain/objects.js";
 
-const address = z.string().regex(
+const addressSchema = z.string().regex(
     /^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}$/,
     "must be an IP number and a port, such as 127.0.0.1:7100",
 );
-const ms = (least: number, most: number, otherwise: number): z.ZodDefault<z.ZodInt> =>
-    z.int().min(least).max(most).default(otherwise);
+const createMsSchema = (min: number, max: number, defaultMs: number): z.ZodDefault<z.ZodInt> =>
+    z.int().min(min).max(max).default(defaultMs);
 
-const controllerEntry = z.strictObject({ name: nameSchema, zone: nameSchema, address });
+const controllerAddressSchema = z.strictObject({ name: nameSchema, zone: nameSchema, address: addressSchema });
 
-const common = {
-    /** Name of this process, unique in the fleet. */
+const commonFields = {
+    /** Name of the process, unique in the fleet. */
     name: nameSchema,
     /** Availability zone of its box. */
     zone: nameSchema,
-    /** Where other processes of the fleet reach it. */
-    listen: address,
-    /** The fleet's secret, or the file that holds it. Every process of a fleet has the same. */
+    /** Address on which other processes of the fleet connect. */
+    listen: addressSchema,
+    /** Secret shared by all processes of the fleet, or the file that contains it. */
     fleetSecret: z.string().min(16).max(512).optional(),
     fleetSecretFile: z.string().optional(),
-    /** All controllers of the fleet, this one included where it is one. */
-    controllers: z.array(controllerEntry).min(1).max(18),
-    /** Other addresses under which this box reaches some processes. */
-    addressMap: z.record(address, address).default({}),
-    /** Where metrics go, such as 127.0.0.1:8125; absent for none. */
-    statsd: address.optional(),
+    /** All controllers of the fleet, including this process if it is one. */
+    controllers: z.array(controllerAddressSchema).min(1).max(18),
+    /** Address translation: peer address to the address that this box has to use for it. */
+    addressMap: z.record(addressSchema, addressSchema).default({}),
+    /** Address of the StatsD server, such as 127.0.0.1:8125; metrics are disabled if absent. */
+    statsd: addressSchema.optional(),
     logLevel: z.enum(["info", "warn", "error"]).default("info"),
 };
 
 export const controllerSettings = z.strictObject({
-    ...common,
+    ...commonFields,
     role: z.literal("controller"),
-    /** Folder on this box's disk. Everything that must survive lies here. */
+    /** Folder on the local disk for all persistent data. */
     dataFolder: z.string().min(1),
-    /** Where operators reach the resource API. */
-    operatorListen: address,
+    /** Listen address of the operator API. */
+    operatorListen: addressSchema,
     operators: z.array(z.strictObject({
         name: nameSchema,
         tokenHash: z.string().regex(/^sha256\$[0-9a-f]{32}\$[0-9a-f]{64}$/, "must come from `loomwinch hash-token`"),
     })).min(1).max(100),
-    /** The platform's list of boxes; absent where there is none. */
+    /** URL of the platform's list of boxes, if there is one. */
     membershipUrl: z.url().optional(),
-    electionTimeoutMs: ms(50, 60_000, 800),
-    heartbeatMs: ms(10, 10_000, 150),
-    proposeTimeoutMs: ms(100, 60_000, 4_000),
+    electionTimeoutMs: createMsSchema(50, 60_000, 800),
+    heartbeatMs: createMsSchema(10, 10_000, 150),
+    proposeTimeoutMs: createMsSchema(100, 60_000, 4_000),
     snapshotEvery: z.int().min(10).max(1_000_000).default(5_000),
-    /** How long a router may use a grant. A dead router's grant is held at least that long. */
-    grantLifeMs: ms(500, 600_000, 8_000),
-    /** Added to a grant's life by the ledger, for clocks that run at different speeds. */
-    driftMarginMs: ms(10, 60_000, 1_000),
-    /** How often shares are balanced and reported. */
-    sharePeriodMs: ms(50, 60_000, 1_000),
-    closePeriodMs: ms(50, 60_000, 1_000),
-    /** After a lost disk, how long a not-repeatable request with a caller's key is refused. */
-    resendWindowMs: ms(0, 86_400_000, 600_000),
-    /** How old a doubtful bill must be before it is compared with the other ledgers'. At least the longest deadline. */
-    billSettleMs: ms(0, 86_400_000, 180_000),
-    /** How long a bill is kept at least to recognise copies. */
-    billKeepMs: ms(1_000, 86_400_000, 3_600_000),
+    /** Lifetime of a grant. Tokens granted to a crashed router stay reserved at least this long. */
+    grantLifeMs: createMsSchema(500, 600_000, 8_000),
+    /** Added by the ledger to the lifetime of a grant to tolerate clock drift. */
+    driftMarginMs: createMsSchema(10, 60_000, 1_000),
+    /** Period of rebalancing and reporting shares. */
+    sharePeriodMs: createMsSchema(50, 60_000, 1_000),
+    closePeriodMs: createMsSchema(50, 60_000, 1_000),
+    /** Time after a disk loss during which non-repeatable requests with an idempotency key are refused. */
+    resendWindowMs: createMsSchema(0, 86_400_000, 600_000),
+    /** Age at which an uncertain bill is compared with those of other ledgers. At least the longest deadline. */
+    billSettleMs: createMsSchema(0, 86_400_000, 180_000),
+    /** Minimum retention of bills for deduplication. */
+    billKeepMs: createMsSchema(1_000, 86_400_000, 3_600_000),
     compactBytes: z.int().min(10_000).max(1_000_000_000).default(32_000_000),
 });
 
 export const routerSettings = z.strictObject({
-    ...common,
+    ...commonFields,
     role: z.literal("router"),
-    /** Where callers and the balancer reach it. */
-    callerListen: address,
+    /** Listen address for callers and the load balancer. */
+    callerListen: addressSchema,
     maxOpenRequests: z.int().min(1).max(100_000).default(4_000),
-    /** Demand that a draw on a ledger covers ahead. */
-    drawAheadMs: ms(0, 60_000, 1_000),
-    /** How long a request waits for reservations about to settle before its budget counts as exhausted. */
-    settleWaitMs: ms(0, 60_000, 500),
-    lameDuckMs: ms(0, 60_000, 2_000),
-    drainMs: ms(0, 3_600_000, 120_000),
-    /** How long it waits for a configuration read through a majority before it serves with an unconfirmed one. */
-    unconfirmedReadyMs: ms(0, 600_000, 5_000),
+    /** Span of expected demand covered by each draw on a ledger. */
+    drawAheadMs: createMsSchema(0, 60_000, 1_000),
+    /** How long a request waits for pending reservations to settle before its budget counts as exhausted. */
+    settleWaitMs: createMsSchema(0, 60_000, 500),
+    lameDuckMs: createMsSchema(0, 60_000, 2_000),
+    drainMs: createMsSchema(0, 3_600_000, 120_000),
+    /** How long to wait for a configuration confirmed by a majority before serving with an unconfirmed one. */
+    unconfirmedReadyMs: createMsSchema(0, 600_000, 5_000),
 });
 
 export const sidecarSettings = z.strictObject({
-    ...common,
+    ...commonFields,
     role: z.literal("sidecar"),
-    /** Name of its box, as the declared upstreams and the platform's list have it. */
+    /** Name of the box, as in the declared upstreams and the platform's list. */
     box: nameSchema,
-    keepAnswersMs: ms(0, 3_600_000, 60_000),
-    indexKeepMs: ms(1_000, 86_400_000, 600_000),
-    drainMs: ms(0, 3_600_000, 120_000),
-    unconfirmedReadyMs: ms(0, 600_000, 5_000),
+    keepAnswersMs: createMsSchema(0, 3_600_000, 60_000),
+    indexKeepMs: createMsSchema(1_000, 86_400_000, 600_000),
+    drainMs: createMsSchema(0, 3_600_000, 120_000),
+    unconfirmedReadyMs: createMsSchema(0, 600_000, 5_000),
 });
 
 export const standInEngineSettings = z.strictObject({
     role: z.literal("stand-in-engine"),
     name: nameSchema,
-    listen: address,
+    listen: addressSchema,
     slots: z.int().min(1).max(4096).default(8),
-    /** Time between two tokens of one stream, and for each 1000 prompt tokens that are not in the cache. */
+    /** Time between two tokens of a stream. */
     tokenMs: z.number().min(0).max(10_000).default(10),
+    /** Prefill time for each 1000 uncached prompt tokens. */
     prefillMsPerThousand: z.number().min(0).max(60_000).default(50),
     cachedPrompts: z.int().min(0).max(1_000_000).default(256),
-    /** How late load reports and cache events are, and the part of cache events that is lost. */
-    reportLagMs: ms(0, 60_000, 500),
+    /** Delay of load reports and cache events. */
+    reportLagMs: createMsSchema(0, 60_000, 500),
+    /** Fraction of cache events that are dropped. */
     eventLossPart: z.number().min(0).max(1).default(0.1),
     checksOrders: z.boolean().default(true),
     seed: z.int().default(1),
@@ -109,15 +111,15 @@
 export const standInServiceSettings = z.strictObject({
     role: z.literal("stand-in-service"),
     name: nameSchema,
-    listen: address,
+    listen: addressSchema,
     answerMs: z.number().min(0).max(60_000).default(2),
 });
 
 export const standInPlatformSettings = z.strictObject({
     role: z.literal("stand-in-platform"),
-    listen: address,
-    /** How late the list tells of changes. */
-    lagMs: ms(0, 600_000, 1_000),
+    listen: addressSchema,
+    /** Delay until changes appear in the list. */
+    lagMs: createMsSchema(0, 600_000, 1_000),
     boxes: z.array(nameSchema).default([]),
 });
 
@@ -145,10 +147,10 @@
     | StandInServiceSettings
     | StandInPlatformSettings;
 
-/** What the daemons of the fleet have in common. */
+/** Settings of any daemon of the fleet; stand-ins are not included. */
 export type CommonSettings = ControllerSettings | RouterSettings | SidecarSettings;
 
-/** The one-process demonstration: whole roles, and the objects to declare. */
+/** Settings of `loomwinch quickstart`: overrides for each role and the objects to declare. */
 export const quickstartSettings = z.strictObject({
     dataFolder: z.string().min(1),
     controller: z.record(z.string(), z.unknown()),
