--- a/src/cli/explainCommand.ts
+++ b/src/cli/explainCommand.ts
@@ -1,54 +1,56 @@
-/** `loomwinch explain REQUEST LOG...`: collects what processes logged of one request and prints it in order of time. */
+/** `loomwinch explain REQUEST LOG...`: prints the log lines of one request in chronological order. */
 import { createReadStream } from "node:fs";
 import { createInterface } from "node:readline";
 import { formatValue } from "../adapters/keyValueLog.js";
 import { createRefusal, RefusalError } from "../domain/resultCodes.js";
 
-/** One line of a log, taken apart. */
+/** A parsed log line. */
 export interface LogLine {
     readonly time: string;
     readonly name: string;
     readonly event: string;
-    /** All other fields, in the order they stand in. */
+    /** All fields, including the three above, in the order of the line. */
     readonly fields: ReadonlyMap<string, string>;
 }
 
-const PAIR = /([\w.]+)=("(?:[^"\\]|\\.)*"|[^\s"]+)/g;
-/** Fields that are the same in all lines of a process, or stand in front of the others. */
-const LEFT_OUT: ReadonlySet<string> = new Set(["time", "level", "role", "name", "zone", "event", "request"]);
-/** Events that say why the final one came out as it did. */
-const CAUSES: ReadonlySet<string> = new Set(["tokens_not_reserved", "attempt_ended"]);
-const FINAL_EVENT = "request_refused";
-const MARK = "*";
+const FIELD_PATTERN = /([\w.]+)=("(?:[^"\\]|\\.)*"|[^\s"]+)/g;
+/** Fields that are constant within a process or that are printed first. */
+const OMITTED_FIELDS: ReadonlySet<string> = new Set(["time", "level", "role", "name", "zone", "event", "request"]);
+/** Events that may explain a refusal. */
+const CAUSE_EVENTS: ReadonlySet<string> = new Set(["tokens_not_reserved", "attempt_ended"]);
+const REFUSAL_EVENT = "request_refused";
+const CAUSE_MARKER = "*";
 
-/** Prints a request's lines; the one that decided on a refusal is marked. Throws notFound where there are none. */
+/** Prints the lines of a request and marks the cause of a refusal. Throws notFound if there are no such lines. */
 export async function explainRequest(request: string, paths: readonly string[]): Promise<void> {
-    const found = (await Promise.all(paths.map(path => readLines(path, request)))).flat();
-    if (found.length === 0) {
-        throw new RefusalError(createRefusal("notFound", `no line of request ${request} in ${paths.length} files`));
+    const lines = (await Promise.all(paths.map(path => readRequestLines(path, request)))).flat();
+    if (lines.length === 0) {
+        throw new RefusalError(
+            createRefusal("notFound", `request ${request} does not appear in any of ${paths.length} log files`),
+        );
     }
-    formatStory(found).forEach(line => process.stdout.write(`${line}\n`));
+    formatTimeline(lines).forEach(line => process.stdout.write(`${line}\n`));
 }
 
-/** The lines in order of time, each with a mark or a blank in front. */
-export function formatStory(lines: readonly LogLine[]): string[] {
-    const ordered = [...lines].sort((a, b) => a.time < b.time ? -1 : Number(a.time > b.time));
-    const decisive = findDecisive(ordered);
-    return ordered.map(line => `${line === decisive ? MARK : " "} ${formatLine(line)}`);
+/** Formats the lines in chronological order, each prefixed with the cause marker or a space. */
+export function formatTimeline(lines: readonly LogLine[]): string[] {
+    const sortedLines = [...lines].sort((a, b) => a.time < b.time ? -1 : Number(a.time > b.time));
+    const cause = findRefusalCause(sortedLines);
+    return sortedLines.map(line => `${line === cause ? CAUSE_MARKER : " "} ${formatLine(line)}`);
 }
 
-/** Takes a line of key=value pairs apart; undefined where it is none of ours. */
+/** Parses a line of key=value pairs; undefined if a required field is missing. */
 export function tryParseLogLine(text: string): LogLine | undefined {
     const fields = new Map<string, string>();
-    for (const [, key, value] of text.matchAll(PAIR)) {
-        fields.set(key!, value!.startsWith("\"") ? parseQuoted(value!) : value!);
+    for (const [, key, value] of text.matchAll(FIELD_PATTERN)) {
+        fields.set(key!, value!.startsWith("\"") ? parseQuotedValue(value!) : value!);
     }
     const [time, name, event] = [fields.get("time"), fields.get("name"), fields.get("event")];
     return time === undefined || name === undefined || event === undefined ? undefined : { time, name, event, fields };
 }
 
-/** What stands in quotes; as it is where it was cut off or is no string of ours. */
-function parseQuoted(text: string): string {
+/** Decodes a quoted value; returns it unchanged if it is not valid JSON. */
+function parseQuotedValue(text: string): string {
     try {
         return String(JSON.parse(text));
     }
@@ -57,12 +59,12 @@
     }
 }
 
-async function readLines(path: string, request: string): Promise<LogLine[]> {
+async function readRequestLines(path: string, request: string): Promise<LogLine[]> {
     const lines: LogLine[] = [];
     const file = createReadStream(path, "utf8");
     try {
         for await (const text of createInterface({ input: file, crlfDelay: Infinity })) {
-            // Most lines are of other requests: only those that name this one are taken apart.
+            // The substring check avoids parsing lines of other requests.
             const line = text.includes(request) ? tryParseLogLine(text) : undefined;
             if (line?.fields.get("request") === request) {
                 lines.push(line);
@@ -75,17 +77,18 @@
     return lines;
 }
 
-/** The last cause before a refusal; the refusal itself where nothing before it says why. */
-function findDecisive(ordered: readonly LogLine[]): LogLine | undefined {
-    const final = ordered.findIndex(line => line.event === FINAL_EVENT);
-    return final < 0
+/** Finds the last cause event before the refusal, or the refusal itself if there is none. */
+function findRefusalCause(sortedLines: readonly LogLine[]): LogLine | undefined {
+    const refusalIndex = sortedLines.findIndex(line => line.event === REFUSAL_EVENT);
+    return refusalIndex < 0
         ? undefined
-        : ordered.slice(0, final).filter(line => CAUSES.has(line.event)).at(-1) ?? ordered[final];
+        : sortedLines.slice(0, refusalIndex).filter(line => CAUSE_EVENTS.has(line.event)).at(-1)
+            ?? sortedLines[refusalIndex];
 }
 
 function formatLine({ time, name, event, fields }: LogLine): string {
-    const rest = [...fields].filter(([key]) => !LEFT_OUT.has(key)).map(([key, value]) =>
+    const otherFields = [...fields].filter(([key]) => !OMITTED_FIELDS.has(key)).map(([key, value]) =>
         `${key}=${formatValue(value)}`
     );
-    return [time, name, event, ...rest].join(" ");
+    return [time, name, event, ...otherFields].join(" ");
 }
--- a/src/cli/lossesCommand.ts
+++ b/src/cli/lossesCommand.ts
@@ -1,28 +1,28 @@
-/** `loomwinch losses LOG...`: counts by route what became of requests, and why answers were late or refused. */
+/** `loomwinch losses LOG...`: counts request outcomes by route, and the causes of late and refused requests. */
 import { createReadStream } from "node:fs";
 import { createInterface } from "node:readline";
 import { createRefusal, RefusalError } from "../domain/resultCodes.js";
 import { type LogLine, tryParseLogLine } from "./explainCommand.js";
 import { formatTable } from "./table.js";
 
-/** Why an answer was late, the first one that holds. */
+/** Causes of a late response; the first one that applies is counted. */
 type LateCause = "tokens" | "resent" | "first" | "pause";
 
-/** What became of a route's requests. */
+/** Request outcomes of one route. */
 interface RouteLosses {
     answered: number;
     readonly late: Record<LateCause, number>;
-    /** Refusals by code. */
+    /** Number of refusals by result code. */
     readonly refused: Map<string, number>;
 }
 
 const HEADINGS = ["route", "answered", "in time", "waited for tokens", "sent again", "first token", "pause", "refused"];
-const ANSWERED = "request_answered";
-const REFUSED = "request_refused";
-/** A wait for tokens that takes more of the goal than this is the cause of a late answer. */
-const TOKEN_WAIT_PART = 0.5;
+const ANSWERED_EVENT = "request_answered";
+const REFUSED_EVENT = "request_refused";
+/** Fraction of the latency goal above which the wait for tokens counts as the cause of a late response. */
+const TOKEN_WAIT_FRACTION = 0.5;
 
-/** Prints the table. `pauseLimitMs`: longest pause within a stream that is in time. Throws notFound for a file. */
+/** `pauseLimitMs`: longest pause within a stream that counts as in time. Throws notFound if a file cannot be read. */
 export async function printLosses(paths: readonly string[], pauseLimitMs: number): Promise<void> {
     const losses = new Map<string, RouteLosses>();
     for (const path of paths) {
@@ -31,25 +31,24 @@
     process.stdout.write(`${formatLosses(losses)}\n`);
 }
 
-/** Counts one line of a log. */
-export function addLine(losses: Map<string, RouteLosses>, line: LogLine, pauseLimitMs: number): void {
+export function recordLogLine(losses: Map<string, RouteLosses>, line: LogLine, pauseLimitMs: number): void {
     const route = line.fields.get("route") ?? "";
-    if (line.event === ANSWERED) {
-        const entry = getEntry(losses, route);
+    if (line.event === ANSWERED_EVENT) {
+        const entry = getOrAddEntry(losses, route);
         entry.answered += 1;
         const cause = findLateCause(line, pauseLimitMs);
         if (cause !== undefined) {
             entry.late[cause] += 1;
         }
     }
-    else if (line.event === REFUSED) {
-        const { refused } = getEntry(losses, route);
+    else if (line.event === REFUSED_EVENT) {
+        const { refused } = getOrAddEntry(losses, route);
         const code = (line.fields.get("refusal") ?? "").split(":")[0]!;
         refused.set(code, (refused.get(code) ?? 0) + 1);
     }
 }
 
-/** The table, the route with most requests first. */
+/** Formats the table, sorted by number of answered requests, highest first. */
 export function formatLosses(losses: ReadonlyMap<string, RouteLosses>): string {
     const rows = [...losses].sort(([, a], [, b]) => b.answered - a.answered).map(
         ([route, { answered, late, refused }]) => {
@@ -66,10 +65,12 @@
     try {
         const lines = createInterface({ input: createReadStream(path, "utf8"), crlfDelay: Infinity });
         for await (const text of lines) {
-            // Most lines are of other events: only those that count are taken apart.
-            const line = text.includes(ANSWERED) || text.includes(REFUSED) ? tryParseLogLine(text) : undefined;
+            // The substring check avoids parsing lines of other events.
+            const line = text.includes(ANSWERED_EVENT) || text.includes(REFUSED_EVENT)
+                ? tryParseLogLine(text)
+                : undefined;
             if (line !== undefined) {
-                addLine(losses, line, pauseLimitMs);
+                recordLogLine(losses, line, pauseLimitMs);
             }
         }
     }
@@ -79,17 +80,17 @@
 }
 
 function findLateCause({ fields }: LogLine, pauseLimitMs: number): LateCause | undefined {
-    const get = (key: string): number => Number(fields.get(key) ?? 0);
-    const goalMs = get("goal_ms");
-    const beganMs = fields.has("first_ms") ? get("first_ms") : get("age_ms");
-    if (goalMs > 0 && beganMs > goalMs) {
-        const hasWaited = get("reserved_ms") > goalMs * TOKEN_WAIT_PART;
-        return hasWaited ? "tokens" : get("sendings") > 1 ? "resent" : "first";
+    const getNumber = (key: string): number => Number(fields.get(key) ?? 0);
+    const goalMs = getNumber("goal_ms");
+    const firstTokenMs = fields.has("first_ms") ? getNumber("first_ms") : getNumber("age_ms");
+    if (goalMs > 0 && firstTokenMs > goalMs) {
+        const isTokenWait = getNumber("reserved_ms") > goalMs * TOKEN_WAIT_FRACTION;
+        return isTokenWait ? "tokens" : getNumber("sendings") > 1 ? "resent" : "first";
     }
-    return get("pause_ms") > pauseLimitMs ? "pause" : undefined;
+    return getNumber("pause_ms") > pauseLimitMs ? "pause" : undefined;
 }
 
-function getEntry(losses: Map<string, RouteLosses>, route: string): RouteLosses {
+function getOrAddEntry(losses: Map<string, RouteLosses>, route: string): RouteLosses {
     let entry = losses.get(route);
     if (entry === undefined) {
         entry = { answered: 0, late: { tokens: 0, resent: 0, first: 0, pause: 0 }, refused: new Map() };
--- a/test/cli/explainCommand.test.ts
+++ b/test/cli/explainCommand.test.ts
@@ -1,9 +1,9 @@
-/** One request's story out of the logs of several processes. */
+/** Tests that the log lines of one request are collected from several files and the cause of a refusal is marked. */
 import { mkdtemp, rm, writeFile } from "node:fs/promises";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import t from "tap";
-import { explainRequest, formatStory, tryParseLogLine } from "../../src/cli/explainCommand.js";
+import { explainRequest, formatTimeline, tryParseLogLine } from "../../src/cli/explainCommand.js";
 
 function createLine(second: number, name: string, event: string, rest: string): string {
     return `time=2026-01-01T00:00:0${second}.000Z level=info role=router name=${name} zone=z event=${event} ${rest}`;
@@ -14,9 +14,9 @@
 const REFUSED = createLine(2, "r2", "request_refused", "request=q1 refusal=\"LW1203 budgetUnreachable: a\" ran=no");
 const OTHER = createLine(0, "r1", "request_answered", "request=q10 status=200");
 
-void t.test("the lines of a request in order, with what decided marked", t => {
+void t.test("lines are sorted by time and the cause of a refusal is marked", t => {
     const lines = [TOKENS, REFUSED, ATTEMPT].map(text => tryParseLogLine(text)!);
-    t.same(formatStory(lines), [
+    t.same(formatTimeline(lines), [
         "  2026-01-01T00:00:01.000Z r1 attempt_ended upstream=e1 reason=\"status 503\"",
         "* 2026-01-01T00:00:02.000Z r2 tokens_not_reserved account=a wanted_tokens=900 room_tokens=20",
         "  2026-01-01T00:00:02.000Z r2 request_refused refusal=\"LW1203 budgetUnreachable: a\" ran=no",
@@ -24,19 +24,19 @@
     t.end();
 });
 
-void t.test("a refusal that nothing before it explains is marked itself; an answer is not", t => {
-    t.match(formatStory([tryParseLogLine(REFUSED)!])[0], /^\* .* request_refused /);
-    t.match(formatStory([tryParseLogLine(OTHER)!])[0], /^ {2}.* request_answered /);
+void t.test("a refusal without a preceding cause is marked itself; an answer is not marked", t => {
+    t.match(formatTimeline([tryParseLogLine(REFUSED)!])[0], /^\* .* request_refused /);
+    t.match(formatTimeline([tryParseLogLine(OTHER)!])[0], /^ {2}.* request_answered /);
     t.end();
 });
 
-void t.test("lines that are none of ours are passed over, quotes that are cut off too", t => {
+void t.test("lines without the required fields are ignored, and an invalid quoted value is kept unchanged", t => {
     t.equal(tryParseLogLine("q1 something else"), undefined);
     t.equal(tryParseLogLine(createLine(1, "r1", "x", "reason=\"\\x\""))?.fields.get("reason"), "\"\\x\"");
     t.end();
 });
 
-void t.test("files are read whole, and what is not there is refused by a number", async t => {
+void t.test("files are read to the end, and a missing request or file is reported with a result code", async t => {
     const folder = await mkdtemp(join(tmpdir(), "loomwinch-explain-"));
     t.teardown(() => rm(folder, { recursive: true }));
     const [first, second] = [join(folder, "r1.log"), join(folder, "r2.log")];
@@ -45,7 +45,7 @@
     const written = t.capture(process.stdout, "write", () => true);
     await explainRequest("q1", [first, second]);
     const lines = written().map(call => String(call.args[0]));
-    t.equal(lines.length, 3, "the line without an end too, and none of another request");
+    t.equal(lines.length, 3, "includes the last line without a line break, and no line of another request");
     await t.rejects(explainRequest("q2", [first]), { message: /notFound/ });
     await t.rejects(explainRequest("q1", [join(folder, "none.log")]), { message: /notFound/ });
 });
