--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The command line. Exit codes: 0 done, 1 refused or failed, 2 wrong use. */
+/** Entry point of the command line. Exit codes: 0 success, 1 failure, 2 usage error. */
 import yargs, { type Argv } from "yargs";
 import { hideBin } from "yargs/helpers";
 import { createRefusal, formatRefusal, getRefusal, RefusalError } from "../domain/resultCodes.js";
@@ -9,28 +9,31 @@
 import * as operators from "./operatorCommands.js";
 
 const EXIT_FAILED = 1;
-const EXIT_WRONG_USE = 2;
+const EXIT_USAGE_ERROR = 2;
 const DEFAULT_SERVER = "http://127.0.0.1:7180";
-const DEFAULT_ROWS = 50;
+const DEFAULT_RECORD_LIMIT = 50;
 
-interface TargetArguments {
+interface TargetOptions {
     readonly server: string;
     readonly token: string | undefined;
 }
 
-function addTarget<T>(parser: Argv<T>): Argv<T & TargetArguments> {
+function addTargetOptions<T>(parser: Argv<T>): Argv<T & TargetOptions> {
     return parser
         .option("server", {
             type: "string",
             default: process.env["LOOMWINCH_SERVER"] ?? DEFAULT_SERVER,
-            describe: "a controller's resource API",
+            describe: "URL of a controller's operator API",
         })
-        .option("token", { type: "string", describe: "operator's token; better in LOOMWINCH_TOKEN" }) as Argv<
-            T & TargetArguments
+        .option("token", {
+            type: "string",
+            describe: "operator token; prefer the LOOMWINCH_TOKEN environment variable",
+        }) as Argv<
+            T & TargetOptions
         >;
 }
 
-function addOutput<T>(parser: Argv<T>): Argv<T & { output: operators.OutputFormat; }> {
+function addOutputOption<T>(parser: Argv<T>): Argv<T & { output: operators.OutputFormat; }> {
     return parser.option("output", {
         alias: "o",
         choices: ["table", "json"] as const,
@@ -38,10 +41,12 @@
     }) as never;
 }
 
-function getTarget(args: TargetArguments): OperatorTarget {
+function getTarget(args: TargetOptions): OperatorTarget {
     const token = args.token ?? process.env["LOOMWINCH_TOKEN"];
     if (token === undefined) {
-        throw new RefusalError(createRefusal("operatorUnknown", "set LOOMWINCH_TOKEN or give --token"));
+        throw new RefusalError(
+            createRefusal("operatorUnknown", "no operator token: set LOOMWINCH_TOKEN or pass --token"),
+        );
     }
     return { server: args.server, token };
 }
@@ -55,7 +60,7 @@
                 parser.option("settings", {
                     type: "string",
                     demandOption: true,
-                    describe: "settings file, JSON with comments",
+                    describe: "settings file (JSON with comments)",
                 }),
             async args => (await import("./roleCommands.js")).runRole(role, args.settings),
         );
@@ -67,10 +72,10 @@
     return cli
         .command(
             "get <kind> [name]",
-            "show declared objects",
+            "list declared objects",
             parser =>
-                addOutput(
-                    addTarget(
+                addOutputOption(
+                    addTargetOptions(
                         parser.positional("kind", { type: "string", demandOption: true }).positional("name", {
                             type: "string",
                         }),
@@ -80,55 +85,65 @@
         )
         .command(
             "apply",
-            "declare the objects of a file",
+            "create or update the objects in a file",
             parser =>
-                addTarget(parser)
+                addTargetOptions(parser)
                     .option("file", { alias: "f", type: "string", demandOption: true })
-                    .option("operation-id", { type: "string", describe: "the same at each resend" }),
+                    .option("operation-id", {
+                        type: "string",
+                        describe: "idempotency key; use the same one for each retry",
+                    }),
             args => operators.applyFile(getTarget(args), args.file, args.operationId),
         )
         .command(
             "delete <kind> <name>",
-            "remove a declared object",
+            "delete a declared object",
             parser =>
-                addTarget(
+                addTargetOptions(
                     parser.positional("kind", { type: "string", demandOption: true }).positional("name", {
                         type: "string",
                         demandOption: true,
                     }),
                 )
-                    .option("revision", { type: "number", describe: "only if it is at this revision" }),
+                    .option("revision", { type: "number", describe: "delete only if the object has this revision" }),
             args => operators.deleteObject(getTarget(args), args.kind, args.name, args.revision),
         )
         .command(
             "watch",
-            "follow the changes of declared objects",
+            "stream changes of declared objects",
             parser =>
-                addTarget(parser).option("from", { type: "number", default: 0, describe: "revision to start after" }),
+                addTargetOptions(parser).option("from", {
+                    type: "number",
+                    default: 0,
+                    describe: "start after this revision",
+                }),
             args => operators.watchObjects(getTarget(args), args.from),
         )
         .command(
             "top-up <budget> <tokens>",
             "add prepaid tokens to a budget",
             parser =>
-                addTarget(
+                addTargetOptions(
                     parser.positional("budget", { type: "string", demandOption: true }).positional("tokens", {
                         type: "number",
                         demandOption: true,
                     }),
                 )
-                    .option("operation-id", { type: "string", describe: "the same at each resend" })
+                    .option("operation-id", {
+                        type: "string",
+                        describe: "idempotency key; use the same one for each retry",
+                    })
                     .option("home", {
                         type: "string",
-                        describe: "controller that accepts it; the same at each resend",
+                        describe: "controller that processes the top-up; use the same one for each retry",
                     }),
             args => operators.topUp(getTarget(args), args.budget, args.tokens, args.operationId, args.home),
         )
         .command(
             "release <budget> <tokens>",
-            "free tokens that were written off as unaccounted in this controller's ledger",
+            "release tokens recorded as unaccounted in this controller's ledger",
             parser =>
-                addTarget(
+                addTargetOptions(
                     parser.positional("budget", { type: "string", demandOption: true }).positional("tokens", {
                         type: "number",
                         demandOption: true,
@@ -139,19 +154,27 @@
         .command(
             "audit",
             "show the newest records of the audit trail",
-            parser => addOutput(addTarget(parser)).option("limit", { type: "number", default: DEFAULT_ROWS }),
+            parser =>
+                addOutputOption(addTargetOptions(parser)).option("limit", {
+                    type: "number",
+                    default: DEFAULT_RECORD_LIMIT,
+                }),
             args => operators.printRecords(getTarget(args), "audit", args.limit, args.output),
         )
         .command(
             "bills",
             "show the newest bills of this controller's ledger",
-            parser => addOutput(addTarget(parser)).option("limit", { type: "number", default: DEFAULT_ROWS }),
+            parser =>
+                addOutputOption(addTargetOptions(parser)).option("limit", {
+                    type: "number",
+                    default: DEFAULT_RECORD_LIMIT,
+                }),
             args => operators.printRecords(getTarget(args), "bills", args.limit, args.output),
         )
         .command(
             "status",
             "show the fleet at a glance",
-            parser => addOutput(addTarget(parser)).option("watch", { type: "boolean", default: false }),
+            parser => addOutputOption(addTargetOptions(parser)).option("watch", { type: "boolean", default: false }),
             args => operators.printStatus(getTarget(args), args.watch, args.output),
         );
 }
@@ -160,19 +183,19 @@
     return cli
         .command(
             "check-settings <file>",
-            "check a settings file",
+            "validate a settings file",
             parser => parser.positional("file", { type: "string", demandOption: true }),
             args => checkSettings(args.file),
         )
         .command(
             "create-key <account>",
-            "make a bearer key for a client account, and the hash to declare",
+            "generate a bearer key for a client account and the hash to declare",
             parser => parser.positional("account", { type: "string", demandOption: true }),
             args => operators.printNewKey(args.account),
         )
         .command(
             "hash-token <token>",
-            "make the hash of an operator's token for a controller's settings",
+            "compute the hash of an operator token for a controller's settings",
             parser => parser.positional("token", { type: "string", demandOption: true }),
             args => operators.printTokenHash(args.token),
         )
@@ -181,7 +204,7 @@
         })
         .command(
             "explain <request> <log..>",
-            "print what processes logged of one request, in order, with what decided on a refusal marked",
+            "print the log lines of a request in chronological order and mark the cause of a refusal",
             parser =>
                 parser.positional("request", { type: "string", demandOption: true })
                     .positional("log", { type: "string", array: true, demandOption: true }),
@@ -189,40 +212,40 @@
         )
         .command(
             "losses <log..>",
-            "count what became of requests by route, and why answers were late or refused",
+            "count request outcomes by route, and the causes of late and refused requests",
             parser =>
                 parser.positional("log", { type: "string", array: true, demandOption: true })
                     .option("pauseLimit", {
                         type: "number",
                         default: 400,
-                        describe: "longest pause within a stream that is in time, in milliseconds",
+                        describe: "longest pause within a stream that counts as in time, in milliseconds",
                     }),
             async args => (await import("./lossesCommand.js")).printLosses(args.log, args.pauseLimit),
         )
         .command(
             "replay <trace>",
-            "replay a trace at a running fleet and judge the outcome",
+            "replay a trace against a running fleet and check the outcome",
             parser =>
                 parser.positional("trace", { type: "string", demandOption: true })
                     .option("expect", {
                         type: "string",
                         demandOption: true,
-                        describe: "stated outcome, JSON with comments",
+                        describe: "expected outcome (JSON with comments)",
                     })
                     .option("fleet", {
                         type: "string",
                         demandOption: true,
-                        describe: "addresses of the fleet, JSON with comments",
+                        describe: "addresses of the fleet (JSON with comments)",
                     }),
             async args => (await import("./replayCommand.js")).runReplay(args.trace, args.expect, args.fleet),
         )
         .command(
             "quickstart",
-            "run the main job in one process and end",
+            "run a demo fleet in one process and exit",
             parser =>
                 parser.option("settings", { type: "string", demandOption: true }).option("data", {
                     type: "string",
-                    describe: "data folder in place of the settings' one",
+                    describe: "data folder; overrides the settings file",
                 }),
             async args => (await import("./quickstart.js")).runQuickstart(args.settings, args.data),
         );
@@ -233,12 +256,11 @@
     if (settings.isErr()) {
         throw new RefusalError(settings.error);
     }
-    operators.printPairs({ ok: path, role: settings.value.role });
+    operators.printKeyValues({ ok: path, role: settings.value.role });
 }
 
-/** Runs the command line and sets the exit code. */
 async function main(): Promise<void> {
-    const cli = yargs(hideBin(process.argv)).scriptName("loomwinch").strict().demandCommand(1, "a command is needed")
+    const cli = yargs(hideBin(process.argv)).scriptName("loomwinch").strict().demandCommand(1, "no command given")
         .wrap(110).help();
     addRoleCommands(cli);
     addOperatorCommands(cli);
@@ -248,7 +270,7 @@
             throw error;
         }
         process.stderr.write(`${message}\nTry loomwinch --help\n`);
-        process.exit(EXIT_WRONG_USE);
+        process.exit(EXIT_USAGE_ERROR);
     });
     try {
         await cli.parseAsync();
--- a/src/cli/operatorClient.ts
+++ b/src/cli/operatorClient.ts
@@ -1,10 +1,10 @@
-/** The command line's side of the operators' resource API. */
+/** HTTP client for the operator API. */
 import { request } from "undici";
 import { createRefusal, RefusalError, ResultCodes, type ResultName } from "../domain/resultCodes.js";
 
 const HEADERS_TIMEOUT_MS = 15_000;
 
-/** Where a controller's resource API is, and with which token. */
+/** Base URL of a controller's operator API and the token to authenticate with. */
 export interface OperatorTarget {
     readonly server: string;
     readonly token: string;
@@ -14,7 +14,7 @@
     readonly error?: { readonly type?: string; readonly message?: string; readonly ran?: "no" | "unknown" | "yes"; };
 }
 
-/** Calls the API; answers the JSON, or throws what the controller refused with. */
+/** Returns the decoded JSON response. Throws a RefusalError if the controller refuses the request or is unreachable. */
 export async function callOperatorApi(
     target: OperatorTarget,
     method: "GET" | "PUT" | "POST" | "DELETE",
@@ -29,16 +29,16 @@
     return answer;
 }
 
-/** Follows a stream of JSON lines. */
+/** Yields each object of a newline-delimited JSON stream. */
 export async function* watchOperatorApi(target: OperatorTarget, path: string): AsyncGenerator<unknown> {
     const response = await sendRequest(target, "GET", path, undefined);
     if (response.statusCode >= 300) {
         throw createApiError(await response.body.json() as ErrorBody, response.statusCode);
     }
-    let rest = "";
+    let partialLine = "";
     for await (const bytes of response.body as AsyncIterable<Buffer>) {
-        const lines = (rest + bytes.toString("utf8")).split("\n");
-        rest = lines.pop()!;
+        const lines = (partialLine + bytes.toString("utf8")).split("\n");
+        partialLine = lines.pop()!;
         for (const line of lines) {
             yield JSON.parse(line);
         }
@@ -73,6 +73,6 @@
     const type = body.error?.type ?? "";
     const code: ResultName = type in ResultCodes ? type as ResultName : "internal";
     return new RefusalError(
-        createRefusal(code, body.error?.message ?? `status ${status}`, body.error?.ran ?? "unknown"),
+        createRefusal(code, body.error?.message ?? `HTTP status ${status}`, body.error?.ran ?? "unknown"),
     );
 }
--- a/src/cli/operatorCommands.ts
+++ b/src/cli/operatorCommands.ts
@@ -1,4 +1,4 @@
-/** The commands that operators drive a fleet with. Each prints to standard output and throws a RefusalError. */
+/** Operator commands. Each prints to standard output and throws a RefusalError on failure. */
 import * as z from "zod";
 import { formatValue } from "../adapters/keyValueLog.js";
 import type { FleetStatus } from "../daemons/controller/statusService.js";
@@ -46,9 +46,9 @@
     format: OutputFormat,
 ): Promise<void> {
     if (name !== undefined) {
-        print(
+        printLine(
             format === "json"
-                ? toJson(await callOperatorApi(target, "GET", `/api/v1/objects/${kind}/${name}`))
+                ? formatJson(await callOperatorApi(target, "GET", `/api/v1/objects/${kind}/${name}`))
                 : formatObjects([
                     await callOperatorApi(target, "GET", `/api/v1/objects/${kind}/${name}`) as ListedObject,
                 ]),
@@ -56,10 +56,10 @@
         return;
     }
     const { items } = await callOperatorApi(target, "GET", `/api/v1/objects/${kind}`) as { items: ListedObject[]; };
-    print(format === "json" ? toJson(items) : formatObjects(items));
+    printLine(format === "json" ? formatJson(items) : formatObjects(items));
 }
 
-/** `apply -f FILE`: puts every object of the file, in its order. */
+/** `apply -f FILE`: creates or updates the objects of the file in order. */
 export async function applyFile(target: OperatorTarget, path: string, operationId: string | undefined): Promise<void> {
     const file = await readJsoncFile(path);
     const parsed = file.andThen(read => checkJsonc(read, applySchema));
@@ -67,15 +67,15 @@
         throw new RefusalError(parsed.error);
     }
     const objects = "objects" in parsed.value ? parsed.value.objects : [parsed.value];
-    for (const [position, object] of objects.entries()) {
+    for (const [index, object] of objects.entries()) {
         const { kind, name, spec, revision } = object;
-        const id = operationId === undefined ? {} : { operationId: `${operationId}.${position}` };
+        const id = operationId === undefined ? {} : { operationId: `${operationId}.${index}` };
         const answer = await callOperatorApi(target, "PUT", `/api/v1/objects/${kind}/${name}`, {
             spec,
             ...(revision === undefined ? {} : { revision }),
             ...id,
         });
-        printPairs({ applied: `${kind}/${name}`, ...(answer as object) });
+        printKeyValues({ applied: `${kind}/${name}`, ...(answer as object) });
     }
 }
 
@@ -87,7 +87,7 @@
     revision: number | undefined,
 ): Promise<void> {
     const query = revision === undefined ? "" : `?revision=${revision}`;
-    printPairs({
+    printKeyValues({
         deleted: `${kind}/${name}`,
         ...(await callOperatorApi(target, "DELETE", `/api/v1/objects/${kind}/${name}${query}`) as object),
     });
@@ -96,7 +96,7 @@
 /** `watch [--from REVISION]` */
 export async function watchObjects(target: OperatorTarget, from: number): Promise<void> {
     for await (const update of watchOperatorApi(target, `/api/v1/watch?from=${from}`)) {
-        print(JSON.stringify(update));
+        printLine(JSON.stringify(update));
     }
 }
 
@@ -114,7 +114,7 @@
         ...(operationId === undefined ? {} : { operationId }),
         ...(home === undefined ? {} : { home }),
     };
-    printPairs({
+    printKeyValues({
         topped_up: budget,
         tokens,
         ...(await callOperatorApi(target, "POST", "/api/v1/top-ups", body) as object),
@@ -123,24 +123,27 @@
 
 /** `release BUDGET TOKENS` */
 export async function releaseUnaccounted(target: OperatorTarget, budget: string, tokens: number): Promise<void> {
-    printPairs({ budget, ...(await callOperatorApi(target, "POST", "/api/v1/release", { budget, tokens }) as object) });
+    printKeyValues({
+        budget,
+        ...(await callOperatorApi(target, "POST", "/api/v1/release", { budget, tokens }) as object),
+    });
 }
 
-/** `audit` and `bills`: the newest records, oldest first. */
+/** `audit` and `bills`: the most recent records, oldest first. */
 export async function printRecords(
     target: OperatorTarget,
-    what: "audit" | "bills",
+    recordType: "audit" | "bills",
     limit: number,
     format: OutputFormat,
 ): Promise<void> {
-    const { items } = await callOperatorApi(target, "GET", `/api/v1/${what}?limit=${limit}`) as {
+    const { items } = await callOperatorApi(target, "GET", `/api/v1/${recordType}?limit=${limit}`) as {
         items: Record<string, unknown>[];
     };
     if (format === "json") {
-        print(toJson(items));
+        printLine(formatJson(items));
         return;
     }
-    items.forEach(item => printPairs(item));
+    items.forEach(item => printKeyValues(item));
 }
 
 /** `status [--watch]` */
@@ -148,34 +151,36 @@
     target: OperatorTarget,
     watch: boolean,
     format: OutputFormat,
-    periodMs = 1_000,
+    pollIntervalMs = 1_000,
 ): Promise<void> {
     do {
         const status = await callOperatorApi(target, "GET", "/api/v1/status") as FleetStatus;
-        print(format === "json" ? toJson(status) : `${watch ? "\u001b[2J\u001b[H" : ""}${formatStatus(status)}`);
+        printLine(
+            format === "json" ? formatJson(status) : `${watch ? "\u001b[2J\u001b[H" : ""}${formatStatus(status)}`,
+        );
         if (watch) {
-            await new Promise(resolve => setTimeout(resolve, periodMs));
+            await new Promise(resolve => setTimeout(resolve, pollIntervalMs));
         }
     } while (watch);
 }
 
-/** `create-key ACCOUNT`: a new bearer key and the hash to declare. */
+/** `create-key ACCOUNT`: generates a bearer key and the hash to declare. */
 export function printNewKey(account: string): void {
     const key = createAccountKey(account);
-    printPairs({ key, keyHash: createKeyHash(key) });
+    printKeyValues({ key, keyHash: createKeyHash(key) });
 }
 
 /** `hash-token TOKEN` */
 export function printTokenHash(token: string): void {
-    printPairs({ tokenHash: createKeyHash(token) });
+    printKeyValues({ tokenHash: createKeyHash(token) });
 }
 
-/** One line of key=value pairs. */
-export function printPairs(pairs: object): void {
+/** Prints one line of key=value pairs. */
+export function printKeyValues(pairs: object): void {
     const text = Object.entries(pairs).map(([key, value]) =>
         `${key}=${formatValue(typeof value === "object" ? JSON.stringify(value) : value)}`
     );
-    print(text.join(" "));
+    printLine(text.join(" "));
 }
 
 function formatObjects(items: readonly ListedObject[]): string {
@@ -196,10 +201,10 @@
     return inForce === undefined ? "-" : `${inForce.daemons}/${inForce.daemons + inForce.behind.length}`;
 }
 
-function toJson(value: unknown): string {
+function formatJson(value: unknown): string {
     return JSON.stringify(value, undefined, 2);
 }
 
-function print(text: string): void {
+function printLine(text: string): void {
     process.stdout.write(`${text}\n`);
 }
--- a/src/cli/quickstart.ts
+++ b/src/cli/quickstart.ts
@@ -1,6 +1,6 @@
 /**
- * The main job in one process: controller, router, sidecar, stand-in engine and stand-in service; declares objects,
- * tops a budget up, answers one streamed chat and one plain call, and prints answer, bill and balance.
+ * `loomwinch quickstart`: runs a demo fleet with stand-in upstreams in one process. Declares objects, tops up a budget,
+ * sends a streaming chat request and a service request, and prints the responses, the bill and the balance.
  */
 import { join } from "node:path";
 import { request } from "undici";
@@ -21,20 +21,20 @@
 } from "../settings/schemas.js";
 import { type RunningRole, startController, startRouter, startSidecar } from "../wiring.js";
 import { callOperatorApi, type OperatorTarget } from "./operatorClient.js";
-import { printPairs } from "./operatorCommands.js";
+import { printKeyValues } from "./operatorCommands.js";
 
 const OPERATOR_TOKEN = "quickstart-operator-token";
 const FLEET_SECRET = "quickstart-fleet-secret";
 const ACCOUNT = "demo";
 const READY_TIMEOUT_MS = 20_000;
-const TURN_MS = 50;
+const POLL_INTERVAL_MS = 50;
 
-/** Runs the demonstration and stops everything again. */
+/** Runs the demo and stops all roles afterwards. */
 export async function runQuickstart(path: string, dataFolder?: string): Promise<void> {
-    const settings = await readQuickstart(path);
+    const settings = await readQuickstartSettings(path);
     const roles: { stop(): Promise<void>; }[] = [];
     try {
-        await demonstrate({ ...settings, dataFolder: dataFolder ?? settings.dataFolder }, roles);
+        await runDemo({ ...settings, dataFolder: dataFolder ?? settings.dataFolder }, roles);
     }
     finally {
         for (const role of roles.reverse()) {
@@ -43,20 +43,20 @@
     }
 }
 
-async function demonstrate(settings: QuickstartSettings, roles: { stop(): Promise<void>; }[]): Promise<void> {
-    const started = await startAll(settings, roles);
+async function runDemo(settings: QuickstartSettings, roles: { stop(): Promise<void>; }[]): Promise<void> {
+    const started = await startRoles(settings, roles);
     const target = { server: `http://${started.controller.httpAddress}`, token: OPERATOR_TOKEN };
-    await waitUntil("a leader", async () => (await getStatus(target)).leader !== undefined);
+    await waitUntil("leader election", async () => (await getStatus(target)).leader !== undefined);
     const key = createAccountKey(ACCOUNT);
     await declareObjects(target, settings, started, key);
     await callOperatorApi(target, "POST", "/api/v1/top-ups", settings.topUp);
     const router = `http://${started.router.httpAddress}`;
-    await waitUntil("the configuration to be in force", async () => {
+    await waitUntil("all daemons to apply the configuration", async () => {
         const status = await getStatus(target);
         return status.daemons.length >= 2 && status.daemons.every(daemon => daemon.revision === status.revision);
     });
-    await askChat(router, key);
-    await callPlain(router, key);
+    await sendChatRequest(router, key);
+    await sendServiceRequest(router, key);
     await printBalance(target, settings.topUp.budget);
 }
 
@@ -68,7 +68,7 @@
     readonly serviceUrl: string;
 }
 
-async function startAll(settings: QuickstartSettings, roles: { stop(): Promise<void>; }[]): Promise<StartedRoles> {
+async function startRoles(settings: QuickstartSettings, roles: { stop(): Promise<void>; }[]): Promise<StartedRoles> {
     const engine = new StandInEngine(
         standInEngineSettings.parse({
             role: "stand-in-engine",
@@ -128,14 +128,14 @@
     return { controller, router, sidecar, engineUrl, serviceUrl };
 }
 
-/** Declares what the settings list; the addresses that are only known now stand there as names in braces. */
+/** Declares the objects in the settings, replacing placeholders in braces with values known only at run time. */
 async function declareObjects(
     target: OperatorTarget,
     settings: QuickstartSettings,
     started: StartedRoles,
     key: string,
 ): Promise<void> {
-    const values: Record<string, string> = {
+    const placeholders: Record<string, string> = {
         "{sidecar}": started.sidecar.peerAddress,
         "{engine}": started.engineUrl,
         "{service}": started.serviceUrl,
@@ -144,10 +144,10 @@
     for (const object of settings.objects) {
         const spec = JSON.parse(
             JSON.stringify(object.spec),
-            (_name, value: unknown) => typeof value === "string" ? values[value] ?? value : value,
+            (_name, value: unknown) => typeof value === "string" ? placeholders[value] ?? value : value,
         ) as unknown;
         const answer = await callOperatorApi(target, "PUT", `/api/v1/objects/${object.kind}/${object.name}`, { spec });
-        printPairs({
+        printKeyValues({
             step: "declared",
             object: `${object.kind}/${object.name}`,
             revision: (answer as { revision: number; }).revision,
@@ -155,7 +155,7 @@
     }
 }
 
-async function askChat(router: string, key: string): Promise<void> {
+async function sendChatRequest(router: string, key: string): Promise<void> {
     const body = {
         model: "wetterwort",
         messages: [{ role: "user", content: "Storm briefing for the Arlberg road crews, please. out=12" }],
@@ -177,8 +177,8 @@
     );
     const answer = events.map(event => event.choices[0]?.delta?.content ?? "").join("");
     const usage = events[events.length - 1]!.usage!;
-    printPairs({ step: "answered", request: response.headers["x-request-id"], answer: answer.trim() });
-    printPairs({
+    printKeyValues({ step: "answered", request: response.headers["x-request-id"], answer: answer.trim() });
+    printKeyValues({
         step: "billed",
         prompt_tokens: usage.prompt_tokens,
         completion_tokens: usage.completion_tokens,
@@ -195,21 +195,21 @@
     };
 }
 
-async function callPlain(router: string, key: string): Promise<void> {
+async function sendServiceRequest(router: string, key: string): Promise<void> {
     const response = await request(`${router}/services/kachelamt/tiles/12/2200/1440`, {
         headers: { authorization: `Bearer ${key}` },
     });
-    printPairs({ step: "called", status: response.statusCode, answer: await response.body.text() });
+    printKeyValues({ step: "called", status: response.statusCode, answer: await response.body.text() });
 }
 
 async function printBalance(target: OperatorTarget, name: string): Promise<void> {
-    await waitUntil("the bills to settle", async () => {
+    await waitUntil("the requests to be billed", async () => {
         const budget = (await getStatus(target)).budgets[name];
         return budget !== undefined && budget.spent > 0;
     });
     const budget = (await getStatus(target)).budgets[name]!;
     const remaining = budget.toppedUp - budget.spent - budget.unaccounted - budget.sealed;
-    printPairs({
+    printKeyValues({
         step: "balance",
         budget: name,
         topped_up: budget.toppedUp,
@@ -223,17 +223,17 @@
     return await callOperatorApi(target, "GET", "/api/v1/status") as FleetStatus;
 }
 
-async function waitUntil(what: string, isTrue: () => Promise<boolean>): Promise<void> {
+async function waitUntil(description: string, checkCondition: () => Promise<boolean>): Promise<void> {
     const deadline = performance.now() + READY_TIMEOUT_MS;
-    while (!await isTrue()) {
+    while (!await checkCondition()) {
         if (performance.now() > deadline) {
-            throw new RefusalError(createRefusal("internal", `waited in vain for ${what}`));
+            throw new RefusalError(createRefusal("internal", `timed out waiting for ${description}`));
         }
-        await new Promise(resolve => setTimeout(resolve, TURN_MS));
+        await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS));
     }
 }
 
-async function readQuickstart(path: string): Promise<QuickstartSettings> {
+async function readQuickstartSettings(path: string): Promise<QuickstartSettings> {
     const file = await readJsoncFile(path);
     const parsed = file.andThen(read => checkJsonc(read, quickstartSettings));
     if (parsed.isErr()) {
--- a/src/cli/replayCommand.ts
+++ b/src/cli/replayCommand.ts
@@ -1,11 +1,11 @@
-/** `loomwinch replay TRACE --expect OUTCOME --fleet FLEET`: drives a running fleet and judges what came of it. */
+/** `loomwinch replay TRACE --expect OUTCOME --fleet FLEET`: replays a trace and checks its outcome. */
 import { createRefusal, RefusalError } from "../domain/resultCodes.js";
 import { fleetSchema, type ReplayReport, replayTrace } from "../replay/replayTrace.js";
 import { type Outcome, outcomeSchema, readTrace } from "../replay/trace.js";
 import { checkJsonc, readJsoncFile } from "../settings/jsoncFile.js";
-import { printPairs } from "./operatorCommands.js";
+import { printKeyValues } from "./operatorCommands.js";
 
-/** Replays, prints the report, and throws outcomeNotMet where a count is over what is stated. */
+/** Replays a trace and prints the report. Throws outcomeNotMet if a count exceeds its limit. */
 export async function runReplay(tracePath: string, expectPath: string, fleetPath: string): Promise<void> {
     const trace = await readTrace(tracePath);
     const outcome = (await readJsoncFile(expectPath)).andThen(file => checkJsonc(file, outcomeSchema));
@@ -20,25 +20,29 @@
     checkOutcome(report, outcome._unsafeUnwrap());
 }
 
-/** One key=value line a group. */
+/** Prints one line of key=value pairs for the counts, the refusals and each rank. */
 export function printReport(report: ReplayReport): void {
     const { waits, refusedByCode, refusalMs, ...counts } = report;
-    printPairs(counts);
-    printPairs({
+    printKeyValues(counts);
+    printKeyValues({
         refusal_ms_p50: refusalMs.p50,
         refusal_ms_p99: refusalMs.p99,
         ...Object.fromEntries(Object.entries(refusedByCode).map(([code, count]) => [`refused.${code}`, count])),
     });
     for (const [rank, wait] of Object.entries(waits)) {
-        printPairs({ rank, first_part_ms_p50: wait.p50, first_part_ms_p99: wait.p99 });
+        printKeyValues({ rank, first_part_ms_p50: wait.p50, first_part_ms_p99: wait.p99 });
     }
 }
 
-/** Throws where a count is over the stated outcome, naming each. */
+/** Throws outcomeNotMet if any count exceeds its limit, listing all such counts. */
 export function checkOutcome(report: ReplayReport, outcome: Outcome): void {
-    const over = (Object.entries(outcome) as [keyof Outcome, number][]).filter(([name, most]) => report[name] > most);
-    if (over.length > 0) {
-        const detail = over.map(([name, most]) => `${name}=${report[name]} over ${most}`).join(", ");
+    const exceeded = (Object.entries(outcome) as [keyof Outcome, number][]).filter(([name, limit]) =>
+        report[name] > limit
+    );
+    if (exceeded.length > 0) {
+        const detail = exceeded.map(([name, limit]) => `${name}=${report[name]} exceeds the limit of ${limit}`).join(
+            ", ",
+        );
         throw new RefusalError(createRefusal("outcomeNotMet", detail));
     }
 }
--- a/src/cli/resultCodeTable.ts
+++ b/src/cli/resultCodeTable.ts
@@ -1,4 +1,4 @@
-/** `loomwinch result-codes`: the table of result codes as docs/RESULT-CODES.md has it. */
+/** `loomwinch result-codes`: formats the result codes as the Markdown table of docs/RESULT-CODES.md. */
 import { ResultCodes } from "../domain/resultCodes.js";
 
 export function formatResultCodeTable(): string {
--- a/src/cli/roleCommands.ts
+++ b/src/cli/roleCommands.ts
@@ -1,10 +1,10 @@
-/** The commands that run a role until they are told to stop. */
+/** Commands that run a role until SIGTERM or SIGINT. */
 import { RefusalError } from "../domain/resultCodes.js";
 import { readRoleSettings } from "../settings/roleFile.js";
 import type { Role, RoleSettings } from "../settings/schemas.js";
 import { type RunningRole, startController, startRouter, startSidecar } from "../wiring.js";
 
-/** Starts the role a settings object is for. */
+/** Starts the role that `settings.role` selects. */
 export async function startRole(settings: RoleSettings): Promise<RunningRole> {
     switch (settings.role) {
         case "controller":
@@ -22,17 +22,17 @@
     }
 }
 
-/** Runs a role from its settings file until SIGTERM or SIGINT, then stops it gently and exits with 0. */
+/** Runs a role until SIGTERM or SIGINT, then shuts it down gracefully and exits the process. */
 export async function runRole(role: Role, path: string): Promise<void> {
     const settings = await readRoleSettings(path, role);
     if (settings.isErr()) {
         throw new RefusalError(settings.error);
     }
     const running = await startRole(settings.value);
-    let stopping = false;
+    let isStopping = false;
     const stop = (): void => {
-        if (!stopping) {
-            stopping = true;
+        if (!isStopping) {
+            isStopping = true;
             running.stop().then(() => process.exit(0), () => process.exit(1));
         }
     };
--- a/src/cli/statusReport.ts
+++ b/src/cli/statusReport.ts
@@ -1,12 +1,14 @@
-/** `loomwinch status` as text: the fleet, the daemons and the budgets at a glance. */
+/** `loomwinch status`: formats a summary line and tables of controllers, daemons and budgets. */
 import type { FleetStatus } from "../daemons/controller/statusService.js";
 import { formatTable } from "./table.js";
 
 export function formatStatus(status: FleetStatus): string {
-    return [formatHead(status), formatControllers(status), formatDaemons(status), formatBudgets(status)].join("\n\n");
+    return [formatSummary(status), formatControllers(status), formatDaemons(status), formatBudgets(status)].join(
+        "\n\n",
+    );
 }
 
-function formatHead(status: FleetStatus): string {
+function formatSummary(status: FleetStatus): string {
     const behind = status.daemons.filter(daemon => daemon.revision < status.revision).length;
     const pairs = [
         `asked=${status.askedAt}`,
--- a/src/cli/table.ts
+++ b/src/cli/table.ts
@@ -1,4 +1,4 @@
-/** Prints rows as a table of aligned columns. */
+/** Formats rows as a table with aligned columns. */
 export function formatTable(headings: readonly string[], rows: readonly (readonly string[])[]): string {
     const widths = headings.map((heading, column) =>
         Math.max(heading.length, ...rows.map(row => (row[column] ?? "").length))
