--- a/src/cli/replayCommand.ts
+++ b/src/cli/replayCommand.ts
@@ -1,7 +1,7 @@
 /** `loomwinch replay TRACE --expect OUTCOME --fleet FLEET`: replays a trace and checks its outcome. */
 import { createRefusal, RefusalError } from "../domain/resultCodes.js";
 import { fleetSchema, type ReplayReport, replayTrace } from "../replay/replayTrace.js";
-import { type Outcome, outcomeSchema, readTrace } from "../replay/trace.js";
+import { type ExpectedOutcome, outcomeSchema, readTrace } from "../replay/trace.js";
 import { checkJsonc, readJsoncFile } from "../settings/jsoncFile.js";
 import { printKeyValues } from "./operatorCommands.js";
 
@@ -35,8 +35,8 @@
 }
 
 /** Throws outcomeNotMet if any count exceeds its limit, listing all such counts. */
-export function checkOutcome(report: ReplayReport, outcome: Outcome): void {
-    const exceeded = (Object.entries(outcome) as [keyof Outcome, number][]).filter(([name, limit]) =>
+export function checkOutcome(report: ReplayReport, outcome: ExpectedOutcome): void {
+    const exceeded = (Object.entries(outcome) as [keyof ExpectedOutcome, number][]).filter(([name, limit]) =>
         report[name] > limit
     );
     if (exceeded.length > 0) {
--- a/src/replay/chatCaller.ts
+++ b/src/replay/chatCaller.ts
@@ -1,13 +1,13 @@
-/** A caller of the chat-completions protocol: asks once and takes the answer apart. Never rejects. */
+/** Client for the chat completions API. Sends each request once and never rejects. */
 import { request } from "undici";
 
-/** How a request ended for its caller. */
+/** Outcome of a chat request as seen by the client. */
 export interface CallResult {
-    /** HTTP status; 0 where no answer came at all. */
+    /** HTTP status; 0 if no response was received. */
     readonly status: number;
-    /** The answer's text, as far as it came. */
+    /** Response text received, possibly truncated. */
     readonly text: string;
-    /** Whether the end was reached. */
+    /** Whether the response was received completely. */
     readonly whole: boolean;
     readonly usage: { readonly prompt_tokens: number; readonly completion_tokens: number; } | undefined;
     readonly error: {
@@ -18,11 +18,11 @@
     } | undefined;
     readonly retryAfter: string | undefined;
     readonly requestId: string;
-    /** Milliseconds until the first part of the answer, or the refusal. */
+    /** Milliseconds until the response headers, or until the request failed. */
     readonly firstMs: number;
 }
 
-export interface ChatCall {
+export interface ChatRequest {
     /** Base URL of a router. */
     readonly url: string;
     readonly key: string;
@@ -31,16 +31,16 @@
     readonly maxTokens: number;
     readonly stream: boolean;
     readonly headers?: Record<string, string>;
-    /** Called with the text so far at each piece of a streamed answer. */
+    /** Called with the text received so far after each chunk of a streaming response. */
     readonly onText?: ((text: string) => void) | undefined;
 }
 
 const HEADERS_TIMEOUT_MS = 120_000;
 
-type AnswerParts = Pick<CallResult, "text" | "whole" | "usage" | "error">;
+type ResponseContent = Pick<CallResult, "text" | "whole" | "usage" | "error">;
 
-/** Asks for a chat answer; a lost connection is an answer that is not whole. */
-export async function askChatAt(call: ChatCall): Promise<CallResult> {
+/** Sends a chat request. A lost connection yields an incomplete result instead of an error. */
+export async function askChatAt(call: ChatRequest): Promise<CallResult> {
     const body = { model: call.model, messages: call.messages, max_tokens: call.maxTokens, stream: call.stream };
     const startedAt = performance.now();
     try {
@@ -58,9 +58,9 @@
             firstMs: performance.now() - startedAt,
         };
         if (response.statusCode !== 200 || !call.stream) {
-            return { ...head, ...parseWhole(await response.body.text()) };
+            return { ...head, ...parseJsonResponse(await response.body.text()) };
         }
-        return { ...head, ...await readStream(response.body, call.onText) };
+        return { ...head, ...await readEventStream(response.body, call.onText) };
     }
     catch {
         const firstMs = performance.now() - startedAt;
@@ -77,7 +77,7 @@
     }
 }
 
-function parseWhole(text: string): AnswerParts {
+function parseJsonResponse(text: string): ResponseContent {
     const body = JSON.parse(text) as {
         choices?: { message: { content: string; }; }[];
         usage?: CallResult["usage"];
@@ -97,17 +97,17 @@
     readonly error?: CallResult["error"];
 }
 
-async function readStream(body: AsyncIterable<Buffer>, onText?: (text: string) => void): Promise<AnswerParts> {
-    let rest = "";
+async function readEventStream(body: AsyncIterable<Buffer>, onText?: (text: string) => void): Promise<ResponseContent> {
+    let partialEvent = "";
     let text = "";
     let whole = false;
     let usage: CallResult["usage"];
     let error: CallResult["error"];
     try {
         for await (const bytes of body) {
-            rest += bytes.toString();
-            const events = rest.split("\n\n");
-            rest = events.pop()!;
+            partialEvent += bytes.toString();
+            const events = partialEvent.split("\n\n");
+            partialEvent = events.pop()!;
             for (const event of events) {
                 if (event === "data: [DONE]") {
                     whole = true;
@@ -122,7 +122,7 @@
         }
     }
     catch {
-        // The connection was lost: what came so far is all there is.
+        // The connection was lost: return the partial response.
     }
     return { text, whole, usage, error };
 }
--- a/src/replay/replayTrace.ts
+++ b/src/replay/replayTrace.ts
@@ -1,4 +1,4 @@
-/** Replays a trace at the addresses of a running fleet, and counts what its promises came to. */
+/** Replays a trace against a running fleet and counts violations of its guarantees. */
 import { request } from "undici";
 import * as z from "zod";
 import { callOperatorApi, type OperatorTarget } from "../cli/operatorClient.js";
@@ -7,11 +7,11 @@
 import type { BillRecord } from "../domain/billBook.js";
 import { askChatAt, type CallResult } from "./chatCaller.js";
 import type { TraceLine, TraceRequest } from "./trace.js";
-import { TrueState } from "./trueState.js";
+import { FleetModel } from "./trueState.js";
 
-/** Where a fleet is. */
+/** Addresses and credentials of a fleet. */
 export const fleetSchema = z.strictObject({
-    /** Routers by availability zone; a request of a zone without one goes to the next. */
+    /** Routers by availability zone; requests of a zone without a router use the first entry. */
     routers: z.array(z.strictObject({ zone: z.string(), url: z.url() })).min(1),
     controllers: z.array(z.strictObject({ name: z.string(), server: z.url() })).min(1),
     operatorToken: z.string(),
@@ -19,16 +19,15 @@
     keys: z.record(z.string(), z.string()),
     /** Budget of each client account. */
     budgets: z.record(z.string(), z.string()),
-    /** Stand-ins by service, asked for what really ran. */
+    /** Stand-in URLs by service; queried for the requests that were executed. */
     standIns: z.record(z.string(), z.array(z.url())),
-    /** Runs that each service can have at once. */
+    /** Maximum number of concurrent runs by service. */
     slots: z.record(z.string(), z.int()),
-    /** Milliseconds of the trace in one millisecond of the replay. */
+    /** Replay speed: trace time divided by real time. */
     timeFactor: z.number().positive().default(1),
 });
 export type ReplayFleet = z.infer<typeof fleetSchema>;
 
-/** What a replay came to. */
 export interface ReplayReport {
     readonly requests: number;
     readonly answered: number;
@@ -44,44 +43,44 @@
     readonly cut_answers: number;
     readonly foreign_answers: number;
     readonly reverts: number;
-    /** Milliseconds to the first part of the answer, by rank: median and 99th percentile. */
+    /** Time to the response headers of answered requests by rank, in milliseconds. */
     readonly waits: Readonly<Record<string, { readonly p50: number; readonly p99: number; }>>;
-    /** Milliseconds to a refusal: median and 99th percentile. */
+    /** Time to the response headers of refused requests, in milliseconds. */
     readonly refusalMs: { readonly p50: number; readonly p99: number; };
 }
 
 interface ReplayedRequest {
     readonly line: TraceRequest;
     readonly result: CallResult;
-    readonly falseRefusal: boolean;
+    readonly isFalseRefusal: boolean;
 }
 
-const SETTLE_TIMEOUT_MS = 20_000;
-const SETTLE_TURN_MS = 200;
-const BILLS_ASKED = 10_000;
+const BILLING_TIMEOUT_MS = 20_000;
+const BILLING_POLL_INTERVAL_MS = 200;
+const MAX_BILLS = 10_000;
 
-/** `onFault` is called for each fault of the trace: the replay itself starts and ends no process. */
+/** `onFault`: injects a fault of the trace; the replay itself does not start or stop processes. */
 export async function replayTrace(
     lines: readonly TraceLine[],
     fleet: ReplayFleet,
     onFault: (line: Extract<TraceLine, { type: "fault"; }>) => Promise<void> = () => Promise.resolve(),
 ): Promise<ReplayReport> {
     const startedAt = performance.now();
-    const trueState = new TrueState(fleet.slots);
+    const model = new FleetModel(fleet.slots);
     const replayed: ReplayedRequest[] = [];
-    const revisions = startRevisionWatch(fleet);
+    const revisionMonitor = startRevisionMonitor(fleet);
     const before = await tryGetStatus(fleet);
     for (const [budget, status] of Object.entries(before?.budgets ?? {})) {
-        trueState.addTopUp(budget, status.toppedUp - status.spent);
+        model.addTopUp(budget, status.toppedUp - status.spent);
     }
-    const work = lines.map(async line => {
-        await wait(line.at / fleet.timeFactor - (performance.now() - startedAt));
+    const tasks = lines.map(async line => {
+        await delay(line.at / fleet.timeFactor - (performance.now() - startedAt));
         switch (line.type) {
             case "request":
-                replayed.push(await replayRequest(line, fleet, trueState));
+                replayed.push(await replayRequest(line, fleet, model));
                 return;
             case "topUp":
-                return replayTopUp(line, fleet, trueState);
+                return replayTopUp(line, fleet, model);
             case "change":
                 await callAnyController(fleet, "PUT", `/api/v1/objects/${line.kind}/${line.name}`, { spec: line.spec });
                 return;
@@ -89,18 +88,18 @@
                 return onFault(line);
         }
     });
-    await Promise.all(work);
-    const reverts = revisions.stop();
-    return createReport(replayed, fleet, trueState, reverts);
+    await Promise.all(tasks);
+    const reverts = revisionMonitor.stop();
+    return createReport(replayed, fleet, model, reverts);
 }
 
-async function replayRequest(line: TraceRequest, fleet: ReplayFleet, trueState: TrueState): Promise<ReplayedRequest> {
+async function replayRequest(line: TraceRequest, fleet: ReplayFleet, model: FleetModel): Promise<ReplayedRequest> {
     const messages = createTraceMessages(line);
     const router = fleet.routers.find(candidate => candidate.zone === line.zone) ?? fleet.routers[0]!;
-    const bill = countPromptTokens(messages) + Math.min(line.outputTokens, line.maxTokens);
-    const bound = Buffer.byteLength(JSON.stringify(messages)) + line.maxTokens;
+    const billedTokens = countPromptTokens(messages) + Math.min(line.outputTokens, line.maxTokens);
+    const maxTokens = Buffer.byteLength(JSON.stringify(messages)) + line.maxTokens;
     const budget = fleet.budgets[line.account]!;
-    trueState.begin(line.id, budget, line.service, bound);
+    model.startRequest(line.id, budget, line.service, maxTokens);
     const result = await askChatAt({
         url: router.url,
         key: fleet.keys[line.account]!,
@@ -114,12 +113,12 @@
             "x-loomwinch-repeatable": String(line.repeatable),
         },
     });
-    const falseRefusal = result.error !== undefined && trueState.couldHaveServed(line.id);
-    trueState.end(line.id, result.whole ? bill : 0);
-    return { line, result, falseRefusal };
+    const falseRefusal = result.error !== undefined && model.isServable(line.id);
+    model.endRequest(line.id, result.whole ? billedTokens : 0);
+    return { line, result, isFalseRefusal: falseRefusal };
 }
 
-/** The messages of a trace's request: as long as it says, and asking the stand-in for as many tokens. */
+/** Creates a prompt of the recorded length that makes the stand-in generate the recorded number of output tokens. */
 export function createTraceMessages(line: TraceRequest): { role: string; content: string; }[] {
     const text = `${line.id} out=${line.outputTokens} `;
     return [{ role: "user", content: `${"x".repeat(Math.max(0, line.promptChars - text.length))} ${text}` }];
@@ -128,7 +127,7 @@
 async function replayTopUp(
     line: Extract<TraceLine, { type: "topUp"; }>,
     fleet: ReplayFleet,
-    trueState: TrueState,
+    model: FleetModel,
 ): Promise<void> {
     const { operationId, budget, tokens, home } = line;
     const controller = fleet.controllers.find(candidate => candidate.name === home) ?? fleet.controllers[0]!;
@@ -136,28 +135,28 @@
     for (let attempt = 0; attempt < 40; attempt++) {
         try {
             await callOperatorApi(target, "POST", "/api/v1/top-ups", { operationId, budget, tokens, home });
-            trueState.addTopUp(budget, tokens);
+            model.addTopUp(budget, tokens);
             return;
         }
         catch {
-            await wait(500);
+            await delay(500);
         }
     }
 }
 
-/** Asks the routers again and again for the revision they run; counts how often one goes back. */
-function startRevisionWatch(fleet: ReplayFleet): { stop: () => number; } {
+/** Polls the revisions that daemons report and counts decreases. */
+function startRevisionMonitor(fleet: ReplayFleet): { stop: () => number; } {
     let reverts = 0;
-    const highest = new Map<string, number>();
+    const highestRevisions = new Map<string, number>();
     const timer = setInterval(() => {
         void tryGetStatus(fleet).then(status => {
             for (const daemon of status?.daemons ?? []) {
                 const key = `${daemon.name}#${daemon.incarnation}`;
-                // Whoever asks a controller that is cut off may see an old report; only a fresh one counts.
-                if (daemon.silentMs < 1_000 && daemon.revision < (highest.get(key) ?? 0)) {
+                // A partitioned controller may return stale reports: count only recent ones.
+                if (daemon.silentMs < 1_000 && daemon.revision < (highestRevisions.get(key) ?? 0)) {
                     reverts += 1;
                 }
-                highest.set(key, Math.max(daemon.revision, highest.get(key) ?? 0));
+                highestRevisions.set(key, Math.max(daemon.revision, highestRevisions.get(key) ?? 0));
             }
         });
     }, 500);
@@ -172,15 +171,15 @@
 async function createReport(
     replayed: readonly ReplayedRequest[],
     fleet: ReplayFleet,
-    trueState: TrueState,
+    model: FleetModel,
     reverts: number,
 ): Promise<ReplayReport> {
     const answered = replayed.filter(entry => entry.result.whole);
     const refused = replayed.filter(entry => entry.result.error !== undefined);
     const bills = await waitForBills(answered, fleet);
-    const runs = await getRuns(fleet);
+    const runs = await fetchRunCounts(fleet);
     const getRunCount = (entry: ReplayedRequest): number => runs.get(`${entry.line.account}/${entry.line.id}`) ?? 0;
-    const isForeign = (entry: ReplayedRequest): boolean =>
+    const hasForeignText = (entry: ReplayedRequest): boolean =>
         !getStandInAnswer(createTraceMessages(entry.line), entry.line.maxTokens).startsWith(entry.result.text);
     const refusedByCode: Record<string, number> = {};
     refused.forEach(entry =>
@@ -195,18 +194,18 @@
             (sum, entry) => sum + Math.min(entry.line.outputTokens, entry.line.maxTokens),
             0,
         ),
-        overspend_tokens: trueState.getOverspend(),
-        false_refusals: refused.filter(entry => entry.falseRefusal).length,
+        overspend_tokens: model.computeOverspentTokens(),
+        false_refusals: refused.filter(entry => entry.isFalseRefusal).length,
         billed_twice: answered.filter(entry => (bills.get(getRequestId(entry)) ?? []).length > 1).length,
         not_billed: answered.filter(entry => (bills.get(getRequestId(entry)) ?? []).length === 0).length,
         ran_but_refused_not_run:
             refused.filter(entry => entry.result.error!.ran === "no" && getRunCount(entry) > 0).length,
         non_repeatable_reruns: replayed.filter(entry => !entry.line.repeatable && getRunCount(entry) > 1).length,
         cut_answers: replayed.filter(entry => !entry.result.whole && entry.result.error === undefined).length,
-        foreign_answers: replayed.filter(isForeign).length,
+        foreign_answers: replayed.filter(hasForeignText).length,
         reverts,
-        waits: getWaits(answered),
-        refusalMs: getPercentiles(refused.map(entry => entry.result.firstMs)),
+        waits: computeWaitsByRank(answered),
+        refusalMs: computePercentiles(refused.map(entry => entry.result.firstMs)),
     };
 }
 
@@ -214,17 +213,17 @@
     return `${entry.line.account}/${entry.line.id}`;
 }
 
-/** Bills that stand, by request id, from every ledger; waits until every answered request has one, or time is up. */
+/** Gets bills not withdrawn, by request id. Polls until each answered request has exactly one, or until the timeout. */
 async function waitForBills(
     answered: readonly ReplayedRequest[],
     fleet: ReplayFleet,
 ): Promise<Map<string, BillRecord[]>> {
-    const deadline = performance.now() + SETTLE_TIMEOUT_MS;
+    const deadline = performance.now() + BILLING_TIMEOUT_MS;
     for (;;) {
         const bills = new Map<string, BillRecord[]>();
         for (const controller of fleet.controllers) {
             const target = { server: controller.server, token: fleet.operatorToken };
-            const answer = await callOperatorApi(target, "GET", `/api/v1/bills?limit=${BILLS_ASKED}`).catch(() => ({
+            const answer = await callOperatorApi(target, "GET", `/api/v1/bills?limit=${MAX_BILLS}`).catch(() => ({
                 items: [],
             })) as { items: BillRecord[]; };
             for (const bill of answer.items.filter(candidate => !candidate.withdrawn)) {
@@ -234,12 +233,12 @@
         if (answered.every(entry => bills.get(getRequestId(entry))?.length === 1) || performance.now() > deadline) {
             return bills;
         }
-        await wait(SETTLE_TURN_MS);
+        await delay(BILLING_POLL_INTERVAL_MS);
     }
 }
 
-/** How often each request really ran, over all stand-ins that can be asked. */
-async function getRuns(fleet: ReplayFleet): Promise<Map<string, number>> {
+/** Fetches the number of executions of each request, summed over all reachable stand-ins. */
+async function fetchRunCounts(fleet: ReplayFleet): Promise<Map<string, number>> {
     const runs = new Map<string, number>();
     for (const url of Object.values(fleet.standIns).flat()) {
         const response = await request(`${url}/runs`).catch(() => undefined);
@@ -252,21 +251,21 @@
     return runs;
 }
 
-function getWaits(answered: readonly ReplayedRequest[]): Record<string, { p50: number; p99: number; }> {
+function computeWaitsByRank(answered: readonly ReplayedRequest[]): Record<string, { p50: number; p99: number; }> {
     const ranks = [...new Set(answered.map(entry => entry.line.rank))].sort();
     return Object.fromEntries(
         ranks.map(rank => [
             rank,
-            getPercentiles(answered.filter(entry => entry.line.rank === rank).map(entry => entry.result.firstMs)),
+            computePercentiles(answered.filter(entry => entry.line.rank === rank).map(entry => entry.result.firstMs)),
         ]),
     );
 }
 
-function getPercentiles(values: readonly number[]): { p50: number; p99: number; } {
+function computePercentiles(values: readonly number[]): { p50: number; p99: number; } {
     const sorted = [...values].sort((a, b) => a - b);
-    const pick = (part: number): number =>
-        Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * part))] ?? 0);
-    return { p50: pick(0.5), p99: pick(0.99) };
+    const getPercentile = (fraction: number): number =>
+        Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * fraction))] ?? 0);
+    return { p50: getPercentile(0.5), p99: getPercentile(0.99) };
 }
 
 async function tryGetStatus(fleet: ReplayFleet): Promise<FleetStatus | undefined> {
@@ -279,19 +278,19 @@
     path: string,
     body?: unknown,
 ): Promise<unknown> {
-    let last: unknown;
+    let lastError: unknown;
     for (const controller of fleet.controllers) {
         const target: OperatorTarget = { server: controller.server, token: fleet.operatorToken };
         try {
             return await callOperatorApi(target, method, path, body);
         }
         catch (error) {
-            last = error;
+            lastError = error;
         }
     }
-    throw last;
+    throw lastError;
 }
 
-function wait(ms: number): Promise<void> {
+function delay(ms: number): Promise<void> {
     return new Promise(resolve => setTimeout(resolve, Math.max(0, ms)));
 }
--- a/src/replay/trace.ts
+++ b/src/replay/trace.ts
@@ -1,29 +1,29 @@
-/** Traces: recorded requests, operators' changes and faults, a JSON line each; and the outcomes they are held to. */
+/** Schemas and reader for traces (JSON lines of requests, operator changes and faults) and their expected outcomes. */
 import { err, ok, type Result } from "neverthrow";
 import { readFile } from "node:fs/promises";
 import * as z from "zod";
 import { createRefusal, type Refusal } from "../domain/resultCodes.js";
 
-/** Milliseconds since the trace's beginning, in the trace's own time. */
+/** Milliseconds since the start of the trace, in trace time. */
 const at = z.number().min(0);
 
-const requestLine = z.strictObject({
+const requestLineSchema = z.strictObject({
     at,
     type: z.literal("request"),
     id: z.string().max(100),
     account: z.string(),
     service: z.string(),
     zone: z.string(),
-    /** Characters of the prompt, and the output tokens the answer has. */
+    /** Length of the prompt in characters. */
     promptChars: z.int().min(1).max(100_000),
     outputTokens: z.int().min(1).max(10_000),
     maxTokens: z.int().min(1).max(10_000),
     deadlineMs: z.int().min(1),
     repeatable: z.boolean(),
-    /** Class under which its wait is reported. */
+    /** Group for latency reporting. */
     rank: z.string().max(20),
 });
-const topUpLine = z.strictObject({
+const topUpLineSchema = z.strictObject({
     at,
     type: z.literal("topUp"),
     operationId: z.string(),
@@ -31,27 +31,32 @@
     tokens: z.int().min(1),
     home: z.string(),
 });
-const changeLine = z.strictObject({
+const changeLineSchema = z.strictObject({
     at,
     type: z.literal("change"),
     kind: z.string(),
     name: z.string(),
     spec: z.record(z.string(), z.unknown()),
 });
-const faultLine = z.strictObject({
+const faultLineSchema = z.strictObject({
     at,
     type: z.literal("fault"),
     action: z.enum(["kill", "start", "stop", "freeze", "thaw", "cutOff", "heal"]),
-    /** Name of a process, or of an availability zone for cutOff and heal. */
+    /** Name of a process; for cutOff and heal, of an availability zone. */
     target: z.string(),
 });
-export const traceLine = z.discriminatedUnion("type", [requestLine, topUpLine, changeLine, faultLine]);
-export type TraceLine = z.infer<typeof traceLine>;
-export type TraceRequest = z.infer<typeof requestLine>;
-export type TraceTopUp = z.infer<typeof topUpLine>;
-export type TraceFault = z.infer<typeof faultLine>;
+export const traceLineSchema = z.discriminatedUnion("type", [
+    requestLineSchema,
+    topUpLineSchema,
+    changeLineSchema,
+    faultLineSchema,
+]);
+export type TraceLine = z.infer<typeof traceLineSchema>;
+export type TraceRequest = z.infer<typeof requestLineSchema>;
+export type TraceTopUp = z.infer<typeof topUpLineSchema>;
+export type TraceFault = z.infer<typeof faultLineSchema>;
 
-/** The most that each count may come to. Absent: not judged. */
+/** Upper limit of each count; a count without a limit is not checked. */
 export const outcomeSchema = z.strictObject({
     overspend_tokens: z.int().optional(),
     false_refusals: z.int().optional(),
@@ -63,14 +68,14 @@
     foreign_answers: z.int().optional(),
     reverts: z.int().optional(),
 });
-export type Outcome = z.infer<typeof outcomeSchema>;
+export type ExpectedOutcome = z.infer<typeof outcomeSchema>;
 
-/** Reads a trace; every line that does not fit is told, with its number. */
+/** Reads a trace. The error lists every invalid line with its line number. */
 export async function readTrace(path: string): Promise<Result<TraceLine[], Refusal>> {
     const lines: TraceLine[] = [];
-    const faults: string[] = [];
+    const errors: string[] = [];
     const text = await readFile(path, "utf8");
-    for (const [position, line] of text.split("\n").entries()) {
+    for (const [index, line] of text.split("\n").entries()) {
         if (line.trim() === "") {
             continue;
         }
@@ -79,15 +84,15 @@
             lines.push(parsed.value);
         }
         else {
-            faults.push(`${path}:${position + 1}: ${parsed.error}`);
+            errors.push(`${path}:${index + 1}: ${parsed.error}`);
         }
     }
-    return faults.length > 0 ? err(createRefusal("traceInvalid", faults.join("\n"))) : ok(lines);
+    return errors.length > 0 ? err(createRefusal("traceInvalid", errors.join("\n"))) : ok(lines);
 }
 
 function parseLine(line: string): Result<TraceLine, string> {
     try {
-        const parsed = traceLine.safeParse(JSON.parse(line));
+        const parsed = traceLineSchema.safeParse(JSON.parse(line));
         return parsed.success ? ok(parsed.data) : err(z.prettifyError(parsed.error).replaceAll("\n", " "));
     }
     catch (error) {
