--- a/src/daemons/directRouter/directRouterDaemon.ts
+++ b/src/daemons/directRouter/directRouterDaemon.ts
@@ -45,8 +45,8 @@
 import { RelayRun } from "./relayRun.js";
 import type { RequestQuarantine } from "./requestQuarantine.js";
 import { RequestRecorder } from "./requestRecorder.js";
-import { UpstreamSignalRecorder } from "./signalReceiver.js";
-import { UpstreamNotifier } from "./upstreamTeller.js";
+import { UpstreamSignalRecorder } from "./upstreamSignalRecorder.js";
+import { UpstreamNotifier } from "./upstreamNotifier.js";
 import type { UpstreamReportAge } from "./upstreamUpdateTracker.js";
 
 /** Times in milliseconds. */
--- a/test/tools/limitSimulation.ts
+++ b/test/tools/limitSimulation.ts
@@ -3,7 +3,7 @@
  * components; notices between routers are delayed or lost.
  */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import { UpstreamSignalRecorder } from "../../src/daemons/directRouter/signalReceiver.js";
+import { UpstreamSignalRecorder } from "../../src/daemons/directRouter/upstreamSignalRecorder.js";
 import type { BundleService } from "../../src/domain/bundle.js";
 import { DistributedRateLimiter, LIMIT_PROBE_FRACTION } from "../../src/domain/distributedRateLimiter.js";
 import { EvacuatedZones } from "../../src/domain/evacuatedZones.js";
