--- a/src/daemons/configClient.ts
+++ b/src/daemons/configClient.ts
@@ -1,6 +1,6 @@
 /**
- * A daemon's subscription to the declared configuration: one task that keeps to the nearest controller that is
- * connected to a majority, and to the nearest one at all while there is none.
+ * A daemon's subscription to the declared configuration. Prefers the nearest controller that is connected to a majority;
+ * while there is none, takes the controllers in turn, nearest first.
  */
 import type { ConfigView } from "../domain/configView.js";
 import { formatRefusal, getRefusal } from "../domain/resultCodes.js";
@@ -18,21 +18,21 @@
 import { type ControllerAddress, sortByZone } from "./controllerAddress.js";
 
 const SUBSCRIBE_TIMEOUT_MS = 4_000;
-const TURN_MS = 200;
+const POLL_INTERVAL_MS = 200;
 const REPORT_PERIOD_MS = 2_000;
-/** A controller that is silent this long is given up. */
-const SILENCE_MS = 2_500;
-/** A controller without a majority is left after this long, to look for a better one. */
-const UNCONFIRMED_MS = 3_000;
+/** Without an update for this long the subscription is dropped. */
+const CONTROLLER_TIMEOUT_MS = 2_500;
+/** Without a confirmed update for this long the next controller is tried. */
+const UNCONFIRMED_TIMEOUT_MS = 3_000;
 
-/** Updates in a row that could not be applied after which the daemon subscribes anew. */
-const MISSED_LIMIT = 3;
+/** Above this many consecutive updates that could not be applied, the daemon subscribes again. */
+const MAX_MISSED_UPDATES = 3;
 
 export class ConfigClient {
     private readonly controllers: readonly ControllerAddress[];
     private peer: Peer | undefined;
-    private heardAt = 0;
-    private confirmedAt = -Infinity;
+    private lastUpdateAt = 0;
+    private lastConfirmedAt = -Infinity;
     private reportedRevision = -1;
     private reportedAt = -Infinity;
     private startedAt = 0;
@@ -49,9 +49,9 @@
         private readonly network: PeerNetwork,
         private readonly clock: Clock,
         private readonly log: Log,
-        /** Numbers worth a glance in the status. */
+        /** Returns the numbers that the daemon's status shows. */
         private readonly getFigures: () => Record<string, number>,
-        /** How long a daemon without a confirmed configuration waits before it serves with an unconfirmed one. */
+        /** Time after which a daemon without a confirmed configuration becomes ready with an unconfirmed one. */
         private readonly unconfirmedReadyMs: number,
     ) {
         this.controllers = sortByZone(controllers, zone);
@@ -60,7 +60,7 @@
     addHandlers(handlers: PeerHandlers): void {
         handlers.add(updateMethod, (update, peer) => {
             if (peer === this.peer) {
-                this.takeUpdate(update);
+                this.handleUpdate(update);
             }
         });
         handlers.add(membershipMethod, membership => this.membershipHandlers.forEach(handler => handler(membership)));
@@ -82,27 +82,27 @@
         this.stopped = true;
     }
 
-    /** Ready once the configuration was read through a majority, or after long enough without one. */
+    /** Whether a configuration has been confirmed by a majority, or one is present and the wait for it has timed out. */
     isReady(): boolean {
         const waitedMs = this.clock.getMonotonicMs() - this.startedAt;
         return this.view.isConfirmed() || (this.view.getRevision() > 0 && waitedMs > this.unconfirmedReadyMs);
     }
 
-    /** Whether nothing newer can be in force elsewhere, give or take a heartbeat. */
+    /** Whether the configuration was recently confirmed to be the latest. */
     isFresh(): boolean {
-        return this.clock.getMonotonicMs() - this.confirmedAt < SILENCE_MS;
+        return this.clock.getMonotonicMs() - this.lastConfirmedAt < CONTROLLER_TIMEOUT_MS;
     }
 
     private async run(): Promise<void> {
         this.startedAt = this.clock.getMonotonicMs();
-        let next = 0;
+        let nextIndex = 0;
         while (!this.stopped) {
-            const controller = this.controllers[next % this.controllers.length]!;
-            next += 1;
+            const controller = this.controllers[nextIndex % this.controllers.length]!;
+            nextIndex += 1;
             try {
                 await this.subscribe(controller);
-                await this.keepSubscription();
-                next = this.isFresh() ? 0 : next;
+                await this.monitorSubscription();
+                nextIndex = this.isFresh() ? 0 : nextIndex;
             }
             catch (error) {
                 this.log.warn("config_controller_failed", {
@@ -111,19 +111,19 @@
                 });
             }
             this.peer = undefined;
-            await this.clock.wait(TURN_MS);
+            await this.clock.wait(POLL_INTERVAL_MS);
         }
     }
 
     private async subscribe(controller: ControllerAddress): Promise<void> {
         const peer = await this.network.connect(controller.address);
         this.peer = peer;
-        this.heardAt = this.clock.getMonotonicMs();
+        this.lastUpdateAt = this.clock.getMonotonicMs();
         const params = { revision: this.view.getRevision(), address: this.ownAddress };
         const update = await peer.call(subscribeMethod, params, SUBSCRIBE_TIMEOUT_MS);
         this.reportedRevision = -1;
         this.missedUpdates = 0;
-        this.takeUpdate(update);
+        this.handleUpdate(update);
         this.log.info("config_subscribed", {
             controller: controller.name,
             revision: update.revision,
@@ -131,32 +131,35 @@
         });
     }
 
-    /** Stays while the controller speaks, and while it has a majority or nothing better is known. */
-    private async keepSubscription(): Promise<void> {
-        const since = this.clock.getMonotonicMs();
+    /** Returns when the controller times out, its updates cannot be applied, or it has lost its majority. */
+    private async monitorSubscription(): Promise<void> {
+        const subscribedAt = this.clock.getMonotonicMs();
         while (!this.stopped && this.peer?.isOpen() === true) {
             this.sendReport();
-            await this.clock.wait(TURN_MS);
+            await this.clock.wait(POLL_INTERVAL_MS);
             const now = this.clock.getMonotonicMs();
-            if (now - this.heardAt > SILENCE_MS || this.missedUpdates > MISSED_LIMIT) {
+            if (
+                now - this.lastUpdateAt > CONTROLLER_TIMEOUT_MS
+                || this.missedUpdates > MAX_MISSED_UPDATES
+            ) {
                 return;
             }
-            if (now - Math.max(since, this.confirmedAt) > UNCONFIRMED_MS) {
+            if (now - Math.max(subscribedAt, this.lastConfirmedAt) > UNCONFIRMED_TIMEOUT_MS) {
                 return;
             }
         }
     }
 
-    private takeUpdate(update: ConfigUpdate): void {
-        this.heardAt = this.clock.getMonotonicMs();
+    private handleUpdate(update: ConfigUpdate): void {
+        this.lastUpdateAt = this.clock.getMonotonicMs();
         if (update.from > this.view.getRevision()) {
-            // What it builds on is still on its way, or was lost: then the next heartbeat cannot be applied either.
+            // The preceding update is delayed or lost. If it is lost, later updates cannot be applied either.
             this.missedUpdates += 1;
             return;
         }
         this.missedUpdates = 0;
         if (update.confirmed && update.revision >= this.view.getRevision()) {
-            this.confirmedAt = this.heardAt;
+            this.lastConfirmedAt = this.lastUpdateAt;
         }
         if (this.view.apply(update)) {
             this.log.info("config_applied", { revision: update.revision });
--- a/src/daemons/task.ts
+++ b/src/daemons/task.ts
@@ -1,13 +1,13 @@
-/** Background tasks that end with their daemon. */
+/** Periodic background tasks of a daemon. */
 import { formatRefusal, getRefusal } from "../domain/resultCodes.js";
 import type { Clock } from "../ports/clock.js";
 import type { Log } from "../ports/log.js";
 
-/** Repeats a piece of work until stopped. A failure is logged and the work goes on at the next turn. */
+/** Runs `work` repeatedly, `periodMs` after each completion, until stopped. Failures are logged. */
 export class RepeatingTask {
     private stopped = false;
     private running: Promise<void> | undefined;
-    private wake: (() => void) | undefined;
+    private endWait: (() => void) | undefined;
 
     constructor(
         private readonly name: string,
@@ -21,9 +21,9 @@
         this.running = this.run();
     }
 
-    /** Has the next turn begin at once. */
+    /** Ends the current wait, so that the next run starts immediately. */
     hurry(): void {
-        this.wake?.();
+        this.endWait?.();
     }
 
     async stop(): Promise<void> {
@@ -44,7 +44,7 @@
                 await Promise.race([
                     this.clock.wait(this.periodMs),
                     new Promise<void>(resolve => {
-                        this.wake = resolve;
+                        this.endWait = resolve;
                     }),
                 ]);
             }
