--- a/src/daemons/loopWatch.ts
+++ b/src/daemons/loopWatch.ts
@@ -1,7 +1,6 @@
 /**
- * Watches how late the event loop of a process runs, and what it did meanwhile, so that an answer that came late can be told
- * from one that was made late. On a box with little processor time one turn of the loop may take hundreds of milliseconds,
- * in which no caller is read and no timer runs.
+ * Measures the event loop lag of a process and the work done during it, to distinguish a slow response from one that was
+ * read late. On a box short of CPU time a single turn may block reads and timers for hundreds of milliseconds.
  */
 import { performance } from "node:perf_hooks";
 import { ArrivalClock } from "../domain/arrivalClock.js";
@@ -10,53 +9,49 @@
 import type { Log } from "../ports/log.js";
 import type { Metrics } from "../ports/metrics.js";
 
-/** Work that is counted, where it may fill a turn: `calls` are those of the system's other processes. */
-export type LoopWork = "requests" | "connections" | "calls" | "bundles";
+/** Work that can occupy a turn. `calls` are RPCs from other daemons. */
+export type LoopWorkType = "requests" | "connections" | "calls" | "bundles";
 
-/** How often the loop is looked at, in milliseconds: a small part of the shortest goal of a route. */
-export const LOOP_TICK_MS = 50;
-/**
- * A tick that is later than this is told to the metrics, in milliseconds. With all 20 a second told a router used 0.0796 cores
- * on a calm day, without 0.0775 (one run each, the machine otherwise busy).
- */
-const TOLD_MS = 20;
-/** A tick that is later than this gives a line, in milliseconds: a caller notices a third of the shortest goals. */
-const LATE_MS = 100;
-/** Time that the box was suspended for, from which on it is told, in milliseconds: shorter than connections stay idle. */
-const LEAST_MISSED_MS = 500;
-/** Least time between two lines, in milliseconds. */
-const LINE_PERIOD_MS = 1_000;
+/** Short compared with the lowest latency goal of a route. */
+export const LOOP_TICK_INTERVAL_MS = 50;
+/** Lag up to this is not recorded as a metric, to save CPU time. */
+const MIN_RECORDED_LAG_MS = 20;
+/** Lag up to this is not logged. A third of the lowest latency goal. */
+const MIN_LOGGED_LAG_MS = 100;
+/** Shorter suspensions are not reported. Below the idle timeout of connections. */
+const MIN_SUSPENSION_MS = 500;
+/** Minimum time between log lines. */
+const LOG_PERIOD_MS = 1_000;
 
-/** What was seen since the last line. Times in milliseconds. */
-interface LoopPeriod {
+/** Lag and work since `startedAt`. */
+interface LagStatistics {
     readonly startedAt: number;
-    longestLateMs: number;
-    lateTicks: number;
-    lateMs: number;
-    readonly counts: Map<LoopWork, number>;
+    maxLagMs: number;
+    lateTickCount: number;
+    totalLagMs: number;
+    readonly workCounts: Map<LoopWorkType, number>;
 }
 
-/** Runs from `start` until `stop`. */
 export class LoopWatch {
-    /** When what is read now probably came. */
+    /** Estimates when data that is read now arrived. */
     readonly arrivals: ArrivalClock;
     private timer: NodeJS.Timeout | undefined;
-    private dueAt = 0;
-    private period: LoopPeriod = createPeriod(0);
-    private utilization = performance.eventLoopUtilization();
-    private readonly timeOfDay = new TimeOfDayWatch();
-    private missedMs = 0;
-    private readonly missedHandlers: (() => void)[] = [];
+    private tickDueAt = 0;
+    private statistics: LagStatistics = createLagStatistics(0);
+    private lastUtilization = performance.eventLoopUtilization();
+    private readonly wallClockMonitor = new TimeOfDayWatch();
+    private lastMissedMs = 0;
+    private readonly suspensionHandlers: (() => void)[] = [];
 
     constructor(private readonly clock: Clock, private readonly log: Log, private readonly metrics: Metrics) {
-        this.arrivals = new ArrivalClock(LOOP_TICK_MS, clock.getMonotonicMs());
+        this.arrivals = new ArrivalClock(LOOP_TICK_INTERVAL_MS, clock.getMonotonicMs());
     }
 
     start(): void {
         const now = this.clock.getMonotonicMs();
-        this.dueAt = now + LOOP_TICK_MS;
-        this.period = createPeriod(now);
-        this.timer = setInterval(() => this.watchTurn(), LOOP_TICK_MS);
+        this.tickDueAt = now + LOOP_TICK_INTERVAL_MS;
+        this.statistics = createLagStatistics(now);
+        this.timer = setInterval(() => this.handleTimer(), LOOP_TICK_INTERVAL_MS);
         this.timer.unref();
     }
 
@@ -64,19 +59,18 @@
         clearInterval(this.timer);
     }
 
-    /** Calls back when the box has probably been suspended: what the process believes is older than it looks. */
+    /** Registers a handler for suspensions of the box, after which the age of cached state is underestimated. */
     onTimeMissed(handler: () => void): void {
-        this.missedHandlers.push(handler);
+        this.suspensionHandlers.push(handler);
     }
 
-    /** Counts one piece of work. */
-    noteWork(work: LoopWork): void {
-        const { counts } = this.period;
-        counts.set(work, (counts.get(work) ?? 0) + 1);
+    noteWork(work: LoopWorkType): void {
+        const { workCounts } = this.statistics;
+        workCounts.set(work, (workCounts.get(work) ?? 0) + 1);
     }
 
-    /** Only a late turn needs the call after its poll, which costs another turn of the loop. */
-    private watchTurn(): void {
+    /** Schedules the callback after the poll only for a delayed turn, since it costs another turn of the loop. */
+    private handleTimer(): void {
         this.recordTick(this.clock.getMonotonicMs());
         if (this.arrivals.getLateMs() > 0) {
             setImmediate(() => this.arrivals.recordPolled());
@@ -89,58 +83,58 @@
     /** Called by the timer. */
     recordTick(now: number): void {
         this.arrivals.recordTick(now);
-        this.watchMissedTime(now);
-        const lateMs = Math.max(0, now - this.dueAt);
-        this.dueAt = now + LOOP_TICK_MS;
-        if (lateMs > TOLD_MS) {
-            this.metrics.recordTiming("loop_late_ms", lateMs);
+        this.detectSuspension(now);
+        const lagMs = Math.max(0, now - this.tickDueAt);
+        this.tickDueAt = now + LOOP_TICK_INTERVAL_MS;
+        if (lagMs > MIN_RECORDED_LAG_MS) {
+            this.metrics.recordTiming("loop_late_ms", lagMs);
         }
-        const { period } = this;
-        if (lateMs > LATE_MS) {
-            period.lateTicks += 1;
-            period.lateMs += lateMs;
-            period.longestLateMs = Math.max(period.longestLateMs, lateMs);
+        const { statistics } = this;
+        if (lagMs > MIN_LOGGED_LAG_MS) {
+            statistics.lateTickCount += 1;
+            statistics.totalLagMs += lagMs;
+            statistics.maxLagMs = Math.max(statistics.maxLagMs, lagMs);
         }
-        if (now - period.startedAt >= LINE_PERIOD_MS) {
-            this.logPeriod(now);
-            this.period = createPeriod(now);
+        if (now - statistics.startedAt >= LOG_PERIOD_MS) {
+            this.logStatistics(now);
+            this.statistics = createLagStatistics(now);
         }
     }
 
-    private watchMissedTime(now: number): void {
+    private detectSuspension(now: number): void {
         const wallMs = this.clock.getWallMs();
-        const missedMs = this.timeOfDay.getMissedMs(wallMs, now);
-        this.timeOfDay.observe(wallMs, now);
-        const newMs = missedMs - this.missedMs;
-        this.missedMs = missedMs;
-        if (newMs >= LEAST_MISSED_MS) {
+        const missedMs = this.wallClockMonitor.getMissedMs(wallMs, now);
+        this.wallClockMonitor.observe(wallMs, now);
+        const suspendedMs = missedMs - this.lastMissedMs;
+        this.lastMissedMs = missedMs;
+        if (suspendedMs >= MIN_SUSPENSION_MS) {
             this.metrics.addCount("time_missed");
-            this.log.warn("time_missed", { missed_ms: Math.round(newMs) });
-            this.missedHandlers.forEach(handler => handler());
+            this.log.warn("time_missed", { missed_ms: Math.round(suspendedMs) });
+            this.suspensionHandlers.forEach(handler => handler());
         }
     }
 
-    private logPeriod(now: number): void {
-        const { period } = this;
-        const last = this.utilization;
-        this.utilization = performance.eventLoopUtilization();
-        if (period.lateTicks === 0) {
+    private logStatistics(now: number): void {
+        const { statistics } = this;
+        const previousUtilization = this.lastUtilization;
+        this.lastUtilization = performance.eventLoopUtilization();
+        if (statistics.lateTickCount === 0) {
             return;
         }
         this.log.warn("loop_late", {
-            longest_late_ms: Math.round(period.longestLateMs),
-            late_turns: period.lateTicks,
-            late_ms: Math.round(period.lateMs),
-            period_ms: Math.round(now - period.startedAt),
-            busy_ms: Math.round(performance.eventLoopUtilization(this.utilization, last).active),
-            requests: period.counts.get("requests") ?? 0,
-            connections: period.counts.get("connections") ?? 0,
-            calls: period.counts.get("calls") ?? 0,
-            bundles: period.counts.get("bundles") ?? 0,
+            longest_late_ms: Math.round(statistics.maxLagMs),
+            late_turns: statistics.lateTickCount,
+            late_ms: Math.round(statistics.totalLagMs),
+            period_ms: Math.round(now - statistics.startedAt),
+            busy_ms: Math.round(performance.eventLoopUtilization(this.lastUtilization, previousUtilization).active),
+            requests: statistics.workCounts.get("requests") ?? 0,
+            connections: statistics.workCounts.get("connections") ?? 0,
+            calls: statistics.workCounts.get("calls") ?? 0,
+            bundles: statistics.workCounts.get("bundles") ?? 0,
         });
     }
 }
 
-function createPeriod(startedAt: number): LoopPeriod {
-    return { startedAt, longestLateMs: 0, lateTicks: 0, lateMs: 0, counts: new Map() };
+function createLagStatistics(startedAt: number): LagStatistics {
+    return { startedAt, maxLagMs: 0, lateTickCount: 0, totalLagMs: 0, workCounts: new Map() };
 }
--- a/test/daemons/loopWatch.test.ts
+++ b/test/daemons/loopWatch.test.ts
@@ -1,29 +1,29 @@
-/** A loop that runs late gives one line a second at most, with what was done meanwhile. */
+/** Tests that event loop lag is logged at most once a second, and that a suspension of the box is detected. */
 import t from "tap";
-import { LOOP_TICK_MS, LoopWatch } from "../../src/daemons/loopWatch.js";
+import { LOOP_TICK_INTERVAL_MS, LoopWatch } from "../../src/daemons/loopWatch.js";
 import { NoMetrics } from "../../src/ports/metrics.js";
 import { FakeClock, KeptLog } from "../tools/fakes.js";
 
-/** Ticks in time until `untilMs`. */
-function tickInTime(watch: LoopWatch, clock: FakeClock, untilMs: number): void {
+/** Ticks without lag until `untilMs`. */
+function tickOnTime(watch: LoopWatch, clock: FakeClock, untilMs: number): void {
     while (clock.getMonotonicMs() < untilMs) {
-        clock.advance(LOOP_TICK_MS);
+        clock.advance(LOOP_TICK_INTERVAL_MS);
         watch.recordTick(clock.getMonotonicMs());
     }
 }
 
-void t.test("late turns are told once a period, with the work in them; a loop in time says nothing", t => {
+void t.test("lag is logged once per period with the work done; nothing is logged without lag", t => {
     const clock = new FakeClock();
     const log = new KeptLog();
     const watch = new LoopWatch(clock, log, new NoMetrics());
     watch.start();
     t.teardown(() => watch.stop());
-    tickInTime(watch, clock, 5_000);
+    tickOnTime(watch, clock, 5_000);
     t.same(log.warnings, []);
-    for (const lateMs of [400, 300, 0, 250]) {
+    for (const lagMs of [400, 300, 0, 250]) {
         watch.noteWork("requests");
         watch.noteWork("bundles");
-        clock.advance(LOOP_TICK_MS + lateMs);
+        clock.advance(LOOP_TICK_INTERVAL_MS + lagMs);
         watch.recordTick(clock.getMonotonicMs());
     }
     t.equal(log.warnings.length, 1);
@@ -36,26 +36,26 @@
         bundles: 4,
         calls: 0,
     });
-    tickInTime(watch, clock, 9_000);
-    t.equal(log.warnings.length, 1, "nothing more while the loop is in time");
+    tickOnTime(watch, clock, 9_000);
+    t.equal(log.warnings.length, 1, "nothing more is logged without lag");
     t.end();
 });
 
-void t.test("a box that was suspended is told once, with how long it was away; small corrections of a clock are not", t => {
+void t.test("a suspension is reported once with its duration; small clock steps are not reported", t => {
     const clock = new FakeClock();
     const log = new KeptLog();
     const watch = new LoopWatch(clock, log, new NoMetrics());
     watch.start();
     t.teardown(() => watch.stop());
-    let told = 0;
-    watch.onTimeMissed(() => told += 1);
-    tickInTime(watch, clock, 2_000);
+    let reportedCount = 0;
+    watch.onTimeMissed(() => reportedCount += 1);
+    tickOnTime(watch, clock, 2_000);
     clock.stepWall(100);
-    tickInTime(watch, clock, 3_000);
-    t.equal(told, 0);
+    tickOnTime(watch, clock, 3_000);
+    t.equal(reportedCount, 0);
     clock.suspend(4_000);
-    tickInTime(watch, clock, 5_000);
-    t.equal(told, 1);
+    tickOnTime(watch, clock, 5_000);
+    t.equal(reportedCount, 1);
     t.match(log.warnings, [{ event: "time_missed", missed_ms: 4_000 }]);
     t.end();
 });
