--- a/src/daemons/router/usageWitness.ts
+++ b/src/daemons/router/usageWitness.ts
@@ -1,4 +1,4 @@
-/** The router as second witness: what it has relayed of a run whose sidecar was lost, told to the grant's ledger. */
+/** Reports the usage of a run whose sidecar was lost to the grant's ledger, based on what the router has relayed. */
 import { createUsageRecord } from "../../domain/billBook.js";
 import type { Clock } from "../../ports/clock.js";
 import type { StartRunParams } from "../../protocol/runMethods.js";
@@ -7,7 +7,7 @@
 export class UsageWitness {
     constructor(private readonly outbox: UsageOutbox, private readonly clock: Clock) {}
 
-    /** Records the tokens known to have been consumed. The sidecar's own record, if it ever comes, can only say more. */
+    /** Records the tokens known to have been consumed, a lower bound of what the sidecar's own record would report. */
     record(params: Omit<StartRunParams, "listener">, promptTokens: number, outputTokens: number): void {
         if (promptTokens + outputTokens === 0) {
             return;
--- a/src/daemons/usageOutbox.ts
+++ b/src/daemons/usageOutbox.ts
@@ -1,6 +1,6 @@
 /**
- * Usage records on their way to the ledgers of their grants. A record is kept until its ledger has synced it; while a
- * ledger cannot be reached its records wait here, and are handed over when the ledger asks about the grant.
+ * Outbox of usage records for the ledgers of their grants. A record is kept until its ledger has synced it. Records of an
+ * unreachable ledger are retried, and are also returned when the ledger asks about their grant.
  */
 import type { UsageRecord } from "../domain/billBook.js";
 import { getGrantLedger, getLedgerController } from "../domain/identifiers.js";
@@ -10,54 +10,58 @@
 
 const SEND_TIMEOUT_MS = 2_000;
 const MAX_RECORDS_PER_CALL = 500;
-/** Past this many waiting records a sidecar takes no new runs, so that no bill is ever dropped. */
-export const MAX_WAITING_RECORDS = 100_000;
+/** At this many pending records a sidecar refuses new runs rather than drop records. */
+export const MAX_PENDING_RECORDS = 100_000;
 
 export class UsageOutbox {
-    private readonly waiting = new Map<string, UsageRecord>();
+    private readonly pendingRecords = new Map<string, UsageRecord>();
 
     constructor(private readonly controllers: readonly ControllerAddress[], private readonly network: PeerNetwork) {}
 
     add(record: UsageRecord): void {
-        this.waiting.set(record.runId, record);
+        this.pendingRecords.set(record.runId, record);
     }
 
     getSize(): number {
-        return this.waiting.size;
+        return this.pendingRecords.size;
     }
 
     isFull(): boolean {
-        return this.waiting.size >= MAX_WAITING_RECORDS;
+        return this.pendingRecords.size >= MAX_PENDING_RECORDS;
     }
 
-    /** The waiting records of some grants. */
+    /** Returns the pending records of the given grants. */
     getForGrants(grants: ReadonlySet<string>): UsageRecord[] {
-        return [...this.waiting.values()].filter(record => grants.has(record.grant));
+        return [...this.pendingRecords.values()].filter(record => grants.has(record.grant));
     }
 
-    /** Sends what waits, each ledger's records to it. Those that fail stay. */
+    /** Sends the pending records to their ledgers. Records that could not be sent stay pending. */
     async flush(): Promise<void> {
-        const byController = new Map<string, UsageRecord[]>();
-        for (const record of this.waiting.values()) {
+        const recordsByController = new Map<string, UsageRecord[]>();
+        for (const record of this.pendingRecords.values()) {
             const controller = getLedgerController(getGrantLedger(record.grant));
-            const records = byController.get(controller) ?? [];
+            const records = recordsByController.get(controller) ?? [];
             records.push(record);
-            byController.set(controller, records);
+            recordsByController.set(controller, records);
         }
         await Promise.all(
-            [...byController].map(([controller, records]) => this.send(controller, records).catch(() => undefined)),
+            [...recordsByController].map(([controller, records]) =>
+                this.send(controller, records).catch(() => undefined)
+            ),
         );
     }
 
-    private async send(name: string, records: readonly UsageRecord[]): Promise<void> {
-        const controller = this.controllers.find(other => other.name === name);
+    private async send(controllerName: string, records: readonly UsageRecord[]): Promise<void> {
+        const controller = this.controllers.find(other => other.name === controllerName);
         if (controller === undefined) {
             return;
         }
         for (let start = 0; start < records.length; start += MAX_RECORDS_PER_CALL) {
-            const part = records.slice(start, start + MAX_RECORDS_PER_CALL);
-            await this.network.call(controller.address, usageMethod, { records: part }, SEND_TIMEOUT_MS);
-            part.forEach(record => this.waiting.get(record.runId) === record && this.waiting.delete(record.runId));
+            const batch = records.slice(start, start + MAX_RECORDS_PER_CALL);
+            await this.network.call(controller.address, usageMethod, { records: batch }, SEND_TIMEOUT_MS);
+            batch.forEach(record =>
+                this.pendingRecords.get(record.runId) === record && this.pendingRecords.delete(record.runId)
+            );
         }
     }
 }
