--- a/src/daemons/router/callerRequests.ts
+++ b/src/daemons/router/callerRequests.ts
@@ -1,4 +1,4 @@
-/** Checks callers' requests and makes jobs of them: who asks, for what, within which bounds, paid by which budget. */
+/** Authenticates and validates callers' requests, and creates a job with the account, service, budget and token bounds. */
 import * as z from "zod";
 import type { ConfigView } from "../../domain/configView.js";
 import { computeDigest, createRandomId, createRequestId, getOwnerPrefix } from "../../domain/identifiers.js";
@@ -11,11 +11,11 @@
 import type { Job } from "./job.js";
 
 const MAX_DEADLINE_MS = 3_600_000;
-const MAX_KEY_LENGTH = 200;
-/** Verified keys remembered, so that a busy key is not hashed for each request. */
-const KEYS_REMEMBERED = 10_000;
+const MAX_IDEMPOTENCY_KEY_LENGTH = 200;
+/** Verified API keys are cached, because hashing them for each request is expensive. */
+const MAX_CACHED_KEYS = 10_000;
 
-/** The headers of a caller's request that mean something to a router; absent ones are undefined. */
+/** Headers of a caller's request that a router evaluates. */
 export interface CallerHeaders {
     readonly bearer: string | undefined;
     readonly idempotencyKey: string | undefined;
@@ -33,26 +33,26 @@
 export type ChatBody = z.infer<typeof chatBody>;
 
 export class CallerRequests {
-    private readonly verified = new Map<string, string>();
+    private readonly verifiedKeys = new Map<string, string>();
     private readonly ownerPrefix: string;
 
     constructor(private readonly view: ConfigView, private readonly clock: Clock, identity: PeerIdentity) {
         this.ownerPrefix = getOwnerPrefix(identity);
     }
 
-    /** Checks a chat request. Throws a RefusalError with `ran` "no". */
+    /** Creates the job of a chat request. Throws a RefusalError with `ran` "no" if the request is invalid. */
     createChatJob(headers: CallerHeaders, body: unknown): { job: Job; body: ChatBody; } {
-        const account = this.checkAccount(headers.bearer);
+        const account = this.authenticateAccount(headers.bearer);
         const parsed = chatBody.safeParse(body);
         if (!parsed.success) {
-            throw new RefusalError(createRefusal("malformedBody", formatIssue(parsed.error)));
+            throw new RefusalError(createRefusal("malformedBody", formatFirstIssue(parsed.error)));
         }
         const chat = parsed.data;
         if (chat.n !== undefined && chat.n !== 1) {
             throw new RefusalError(createRefusal("unsupportedOption", "n must be 1"));
         }
-        const spec = this.checkService(chat.model, "model");
-        const outputCap = getOutputCap(chat, spec);
+        const spec = this.getServiceSpec(chat.model, "model");
+        const outputCap = resolveOutputCap(chat, spec);
         const promptBound = computePromptBound(chat);
         const prompt = JSON.stringify(chat.messages);
         const request = { type: "chat" as const, body: chat, resumeFrom: 0, resumeText: "" };
@@ -67,14 +67,14 @@
         return { job, body: chat };
     }
 
-    /** Checks a call of a plain service. Throws a RefusalError with `ran` "no". */
+    /** Creates the job of a call to a plain service. Throws a RefusalError with `ran` "no" if the call is invalid. */
     createPlainJob(
         headers: CallerHeaders,
         service: string,
         call: { method: string; path: string; headers: Record<string, string>; body: Buffer; },
     ): Job {
-        const account = this.checkAccount(headers.bearer);
-        const spec = this.checkService(service, "plain");
+        const account = this.authenticateAccount(headers.bearer);
+        const spec = this.getServiceSpec(service, "plain");
         const body = call.body.toString("base64");
         const request = { type: "plain" as const, method: call.method, path: call.path, headers: call.headers, body };
         const digest = computeDigest(`${call.method} ${call.path} ${body}`);
@@ -96,32 +96,34 @@
     ): Job {
         const budget = this.view.tryGetBudget(account, service);
         if (budget === undefined) {
-            throw new RefusalError(createRefusal("budgetMissing", `${account} has none for ${service}`));
+            throw new RefusalError(
+                createRefusal("budgetMissing", `account ${account} has no budget for service ${service}`),
+            );
         }
-        const key = checkIdempotencyKey(headers.idempotencyKey);
-        const deadlineMs = checkDeadline(headers.deadlineMs) ?? serviceSpec.defaultDeadlineMs;
+        const key = parseIdempotencyKey(headers.idempotencyKey);
+        const deadlineMs = parseDeadlineMs(headers.deadlineMs) ?? serviceSpec.defaultDeadlineMs;
         return {
             ...bounds,
             requestId: createRequestId(account, key ?? createRandomId()),
             owner: `${this.ownerPrefix}${createRandomId()}`,
-            keyed: key !== undefined,
+            hasIdempotencyKey: key !== undefined,
             account,
             service,
             serviceSpec,
             budget,
-            repeatable: checkRepeatable(headers.repeatable) ?? serviceSpec.repeatable,
+            repeatable: parseRepeatable(headers.repeatable) ?? serviceSpec.repeatable,
             deadline: this.clock.getMonotonicMs() + deadlineMs,
             ranking: resolveRanking(this.view.getRankRules(service), bounds.promptBound, bounds.outputCap),
         };
     }
 
-    private checkAccount(bearer: string | undefined): string {
+    private authenticateAccount(bearer: string | undefined): string {
         if (bearer === undefined) {
             throw new RefusalError(createRefusal("keyMissing"));
         }
         const name = tryGetKeyAccount(bearer);
         const account = name === undefined ? undefined : this.view.tryGet("clientAccount", name);
-        if (account === undefined || !this.isVerified(bearer, account.spec.keyHashes)) {
+        if (account === undefined || !this.isKeyVerified(bearer, account.spec.keyHashes)) {
             throw new RefusalError(createRefusal("keyWrong"));
         }
         if (account.spec.suspended) {
@@ -130,23 +132,23 @@
         return account.name;
     }
 
-    /** A key is hashed once for each list of hashes it is checked against. */
-    private isVerified(bearer: string, hashes: readonly string[]): boolean {
-        const known = hashes.join();
-        if (this.verified.get(bearer) === known) {
+    /** Caches a valid key together with the hashes it was verified against, so that a change of them invalidates it. */
+    private isKeyVerified(bearer: string, hashes: readonly string[]): boolean {
+        const joinedHashes = hashes.join();
+        if (this.verifiedKeys.get(bearer) === joinedHashes) {
             return true;
         }
         if (!isKeyValid(bearer, hashes)) {
             return false;
         }
-        if (this.verified.size >= KEYS_REMEMBERED) {
-            this.verified.clear();
+        if (this.verifiedKeys.size >= MAX_CACHED_KEYS) {
+            this.verifiedKeys.clear();
         }
-        this.verified.set(bearer, known);
+        this.verifiedKeys.set(bearer, joinedHashes);
         return true;
     }
 
-    private checkService(name: string, type: ServiceSpec["type"]): ServiceSpec {
+    private getServiceSpec(name: string, type: ServiceSpec["type"]): ServiceSpec {
         const spec = this.view.tryGetService(name);
         if (spec === undefined || spec.type !== type) {
             throw new RefusalError(createRefusal("serviceUnknown", name));
@@ -155,35 +157,38 @@
     }
 }
 
-function getOutputCap(chat: ChatBody, spec: ServiceSpec): number {
-    const asked = chat["max_completion_tokens"] ?? chat["max_tokens"] ?? undefined;
-    if (asked === undefined) {
+function resolveOutputCap(chat: ChatBody, spec: ServiceSpec): number {
+    const requestedTokens = chat["max_completion_tokens"] ?? chat["max_tokens"] ?? undefined;
+    if (requestedTokens === undefined) {
         return Math.min(spec.defaultOutputTokens, spec.maxOutputTokens);
     }
-    if (!Number.isSafeInteger(asked) || (asked as number) < 1 || (asked as number) > MAX_TOKENS) {
+    if (
+        !Number.isSafeInteger(requestedTokens) || (requestedTokens as number) < 1
+        || (requestedTokens as number) > MAX_TOKENS
+    ) {
         throw new RefusalError(createRefusal("badTokenCount", "max_tokens must be a positive integer"));
     }
-    if ((asked as number) > spec.maxOutputTokens) {
+    if ((requestedTokens as number) > spec.maxOutputTokens) {
         throw new RefusalError(
-            createRefusal("badTokenCount", `max_tokens is over the service's limit of ${spec.maxOutputTokens}`),
+            createRefusal("badTokenCount", `max_tokens exceeds the service's limit of ${spec.maxOutputTokens}`),
         );
     }
-    return asked as number;
+    return requestedTokens as number;
 }
 
-function checkIdempotencyKey(text: string | undefined): string | undefined {
-    if (text !== undefined && (text.length > MAX_KEY_LENGTH || !/^[\x21-\x7e]+$/.test(text))) {
+function parseIdempotencyKey(text: string | undefined): string | undefined {
+    if (text !== undefined && (text.length > MAX_IDEMPOTENCY_KEY_LENGTH || !/^[\x21-\x7e]+$/.test(text))) {
         throw new RefusalError(
             createRefusal(
                 "badHeader",
-                `Idempotency-Key must be 1 to ${MAX_KEY_LENGTH} printable characters without spaces`,
+                `Idempotency-Key must be 1 to ${MAX_IDEMPOTENCY_KEY_LENGTH} printable characters without spaces`,
             ),
         );
     }
     return text;
 }
 
-function checkDeadline(text: string | undefined): number | undefined {
+function parseDeadlineMs(text: string | undefined): number | undefined {
     if (text === undefined) {
         return undefined;
     }
@@ -196,22 +201,28 @@
     return ms;
 }
 
-function checkRepeatable(text: string | undefined): boolean | undefined {
+function parseRepeatable(text: string | undefined): boolean | undefined {
     if (text === undefined || text === "true" || text === "false") {
         return text === undefined ? undefined : text === "true";
     }
     throw new RefusalError(createRefusal("badHeader", "x-loomwinch-repeatable must be true or false"));
 }
 
-function formatIssue(error: z.ZodError): string {
+function formatFirstIssue(error: z.ZodError): string {
     const issue = error.issues[0]!;
     return `${issue.path.join(".")}: ${issue.message}`;
 }
 
-/** The refusal for a process that takes no requests now, if it does not. */
-export function tryGetReadinessRefusal(isReady: boolean, open: number, most: number): Refusal | undefined {
+/** Returns the refusal for a new request while the router is not ready or at its limit of open requests. */
+export function tryGetReadinessRefusal(
+    isReady: boolean,
+    openRequests: number,
+    maxOpenRequests: number,
+): Refusal | undefined {
     if (!isReady) {
         return createRefusal("notReady", undefined, "no", 1000);
     }
-    return open >= most ? createRefusal("tooManyRequests", `${open} open`, "no", 1000) : undefined;
+    return openRequests >= maxOpenRequests
+        ? createRefusal("tooManyRequests", `${openRequests} requests are open`, "no", 1000)
+        : undefined;
 }
--- a/src/daemons/router/claimClient.ts
+++ b/src/daemons/router/claimClient.ts
@@ -1,6 +1,6 @@
 /**
- * A router's side of the request index. A request with a key of its caller's has two copies of its claim, at the two
- * sidecars that win it by rendezvous hashing; the first that can be reached decides.
+ * Client of the request index. The claim on a request with an idempotency key is replicated to two sidecars, selected by
+ * rendezvous hashing, and the first replica that can be reached decides.
  */
 import type { ConfigView } from "../../domain/configView.js";
 import { chooseByRendezvous } from "../../domain/identifiers.js";
@@ -9,19 +9,19 @@
 import type { PeerNetwork } from "../../ports/peer.js";
 import { type ClaimAnswer, claimMethod, placeMethod, unclaimMethod } from "../../protocol/runMethods.js";
 
-const COPIES = 2;
+const REPLICA_COUNT = 2;
 const CALL_TIMEOUT_MS = 400;
-const PENDING_TURN_MS = 40;
+const PENDING_POLL_INTERVAL_MS = 40;
 
-/** Whose claim it is, and on what. */
+/** Identifies a claim: the request, the digest of its body, and the attempt of one router that owns the claim. */
 export interface ClaimKey {
     readonly requestId: string;
     readonly digest: string;
     readonly owner: string;
 }
 
-/** Where a request stands. `uncertain`: some copy could not be asked, so it may be running unknown to this router. */
-export type Standing =
+/** `uncertain`: a replica could not be reached, so the request may already be running elsewhere. */
+export type ClaimResult =
     | { readonly type: "claimed"; readonly uncertain: boolean; }
     | { readonly type: "dispatched"; readonly sidecar: string; };
 
@@ -33,57 +33,57 @@
     ) {}
 
     /**
-     * Claims a request, or learns where it runs. While another router holds the claim without having placed it, waits
-     * until it has, or gives it up, or `deadline` (monotonic clock) passes.
+     * Claims a request, or returns where it runs. While another router holds the claim and has not dispatched the request,
+     * polls until it has, releases the claim, or `deadline` (monotonic clock) passes.
      */
-    async claim(key: ClaimKey, deadline: number): Promise<Standing> {
+    async claim(key: ClaimKey, deadline: number): Promise<ClaimResult> {
         for (;;) {
-            const standing = await this.claimOnce(key);
-            if (standing !== "pending") {
-                return standing;
+            const result = await this.tryClaim(key);
+            if (result !== "pending") {
+                return result;
             }
-            if (this.clock.getMonotonicMs() + PENDING_TURN_MS > deadline) {
+            if (this.clock.getMonotonicMs() + PENDING_POLL_INTERVAL_MS > deadline) {
                 throw new RefusalError(
-                    createRefusal("outcomeUnknown", "another router is about to run it", "unknown", 1000),
+                    createRefusal("outcomeUnknown", "another router has claimed the request", "unknown", 1000),
                 );
             }
-            await this.clock.wait(PENDING_TURN_MS);
+            await this.clock.wait(PENDING_POLL_INTERVAL_MS);
         }
     }
 
-    /** Says at both copies where the request is about to run. */
-    async place(key: ClaimKey, sidecar: string): Promise<void> {
-        const placed = this.getCopies(key.requestId).map(copy =>
-            this.network.call(copy, placeMethod, { ...key, sidecar }, CALL_TIMEOUT_MS)
+    /** Records at both replicas where the request is about to be dispatched. */
+    async recordDispatch(key: ClaimKey, sidecar: string): Promise<void> {
+        const calls = this.getReplicas(key.requestId).map(replica =>
+            this.network.call(replica, placeMethod, { ...key, sidecar }, CALL_TIMEOUT_MS)
         );
-        await Promise.allSettled(placed);
+        await Promise.allSettled(calls);
     }
 
-    /** Gives the claim up: nothing ran under it. */
-    async unclaim(key: ClaimKey): Promise<void> {
-        const given = this.getCopies(key.requestId).map(copy =>
-            this.network.call(copy, unclaimMethod, key, CALL_TIMEOUT_MS)
+    /** Releases the claim of a request that did not run. */
+    async releaseClaim(key: ClaimKey): Promise<void> {
+        const calls = this.getReplicas(key.requestId).map(replica =>
+            this.network.call(replica, unclaimMethod, key, CALL_TIMEOUT_MS)
         );
-        await Promise.allSettled(given);
+        await Promise.allSettled(calls);
     }
 
-    private getCopies(requestId: string): string[] {
-        return chooseByRendezvous(requestId, this.view.getSidecars(), COPIES);
+    private getReplicas(requestId: string): string[] {
+        return chooseByRendezvous(requestId, this.view.getSidecars(), REPLICA_COUNT);
     }
 
-    private async claimOnce(key: ClaimKey): Promise<Standing | "pending"> {
-        let reached = 0;
+    private async tryClaim(key: ClaimKey): Promise<ClaimResult | "pending"> {
+        let reachedCount = 0;
         let pending = false;
-        const copies = this.getCopies(key.requestId);
-        for (const copy of copies) {
+        const replicas = this.getReplicas(key.requestId);
+        for (const replica of replicas) {
             let answer: ClaimAnswer;
             try {
-                answer = await this.network.call(copy, claimMethod, key, CALL_TIMEOUT_MS);
+                answer = await this.network.call(replica, claimMethod, key, CALL_TIMEOUT_MS);
             }
             catch {
                 continue;
             }
-            reached += 1;
+            reachedCount += 1;
             checkDigest(answer, key.digest);
             if (answer.type === "dispatched") {
                 return { type: "dispatched", sidecar: answer.sidecar };
@@ -93,7 +93,7 @@
                 break;
             }
         }
-        return pending ? "pending" : { type: "claimed", uncertain: reached < copies.length };
+        return pending ? "pending" : { type: "claimed", uncertain: reachedCount < replicas.length };
     }
 }
 
--- a/src/daemons/router/job.ts
+++ b/src/daemons/router/job.ts
@@ -1,14 +1,14 @@
-/** One caller's request inside a router, and where its answer goes. */
+/** A caller's request as processed by a router, and the sink for its answer. */
 import type { ServiceSpec } from "../../domain/objects.js";
 import type { Refusal } from "../../domain/resultCodes.js";
 import type { Ranking } from "../../domain/tokenBounds.js";
 import type { AnswerPiece, StartRunParams } from "../../protocol/runMethods.js";
 import type { ClaimKey } from "./claimClient.js";
 
-/** Everything a router has worked out about a request before it runs. */
+/** A validated request with everything that its runs need. */
 export interface Job extends ClaimKey {
-    /** Whether the caller gave the key, so that it may come back with it. */
-    readonly keyed: boolean;
+    /** Whether the caller sent an idempotency key, and may therefore retry the request. */
+    readonly hasIdempotencyKey: boolean;
     readonly account: string;
     readonly service: string;
     readonly serviceSpec: ServiceSpec;
@@ -25,22 +25,22 @@
     readonly prompt: string;
 }
 
-/** What a whole answer cost. Tokens. */
+/** Tokens used by a complete answer. */
 export interface AnswerUsage {
     readonly promptTokens: number;
     readonly outputTokens: number;
 }
 
-/** Takes an answer to its caller. */
+/** Writes an answer to its caller. */
 export abstract class AnswerSink {
-    /** Passes pieces on; resolves when the caller can take more. */
+    /** Writes pieces; resolves when the caller can receive more. */
     abstract writePieces(pieces: readonly AnswerPiece[]): Promise<void>;
-    /** Ends a whole answer. */
+    /** Ends a complete answer. */
     abstract end(usage: AnswerUsage): void;
-    /** Ends with a refusal: as the whole answer, or after a part of it. */
+    /** Ends with a refusal, which may follow a partial answer. */
     abstract fail(refusal: Refusal): void;
-    /** Whether anything has reached the caller that cannot be taken back. */
+    /** Whether a part of the answer has been sent and cannot be discarded. */
     abstract hasBegun(): boolean;
-    /** Whether the caller is gone. */
+    /** Whether the caller has disconnected. */
     abstract isGone(): boolean;
 }
--- a/src/daemons/router/ledgerClient.ts
+++ b/src/daemons/router/ledgerClient.ts
@@ -1,6 +1,6 @@
 /**
- * Draws on ledgers for a router's reservations, and gives back what is not needed. The nearest ledger that can be
- * reached is drawn on first; the others when it has nothing and cannot get anything.
+ * Draws tokens from ledgers for a router's reservations, and returns those that are not needed. Draws from the nearest
+ * ledger; from the next ones if it cannot be reached, or is short of tokens and cannot reach the others.
  */
 import { Signal } from "../../consensus/signal.js";
 import { getGrantFree, GrantBook, type Reservation, type RouterGrant } from "../../domain/grantBook.js";
@@ -23,34 +23,34 @@
 const INFO_TIMEOUT_MS = 1_000;
 const RETURN_TIMEOUT_MS = 1_000;
 const DEMAND_HALF_LIFE_MS = 3_000;
-/** How long a refused budget is refused again without asking. */
-const EXHAUSTED_MEMORY_MS = 150;
-/** A grant with less life than this is not drawn on any more. */
-const LEAST_LIFE_MS = 1_000;
+/** How long a refused draw is answered from the cache. */
+const EXHAUSTION_CACHE_MS = 150;
+/** A grant that expires earlier than this is not drawn on. */
+const MIN_REMAINING_LIFETIME_MS = 1_000;
 const RETRY_AFTER_MS = 2_000;
 
 export interface LedgerClientOptions {
     readonly router: string;
     /** Nearest first. */
     readonly controllers: readonly ControllerAddress[];
-    /** Demand that a draw covers ahead, in milliseconds. */
+    /** Time whose expected demand a draw covers, in milliseconds. */
     readonly drawAheadMs: number;
-    /** How long a request waits for reservations that are about to settle, in milliseconds. */
+    /** How long a refused request waits for other reservations to settle, in milliseconds. */
     readonly settleWaitMs: number;
 }
 
-interface Exhaustion {
+interface CachedRefusal {
     readonly need: number;
-    readonly until: number;
+    readonly expiresAt: number;
     readonly refusal: Refusal;
 }
 
 export class LedgerClient {
     private readonly book: GrantBook;
     private readonly demands = new Map<string, MovingRate>();
-    private readonly drawing = new Map<string, Promise<unknown>>();
-    private readonly exhausted = new Map<string, Exhaustion>();
-    private readonly freed = new Signal();
+    private readonly pendingDraws = new Map<string, Promise<unknown>>();
+    private readonly cachedRefusals = new Map<string, CachedRefusal>();
+    private readonly tokensFreed = new Signal();
 
     constructor(
         private readonly network: PeerNetwork,
@@ -59,14 +59,14 @@
         private readonly metrics: Metrics,
         private readonly options: LedgerClientOptions,
     ) {
-        this.book = new GrantBook(options.router, clock, () => this.freed.notifyAll());
+        this.book = new GrantBook(options.router, clock, () => this.tokensFreed.notifyAll());
     }
 
     addHandlers(handlers: PeerHandlers): void {
-        handlers.add(recallGrantMethod, async params => ({ returned: await this.returnFree(params.budget) }));
+        handlers.add(recallGrantMethod, async params => ({ returned: await this.returnFreeTokens(params.budget) }));
     }
 
-    /** Reserves `tokens` of a budget, or refuses with budgetExhausted or budgetUnreachable. */
+    /** Reserves `tokens` of a budget. Rejects with budgetExhausted or budgetUnreachable. */
     async reserve(budget: string, tokens: number): Promise<Reservation> {
         this.getDemand(budget).add(tokens, this.clock.getMonotonicMs());
         const deadline = this.clock.getMonotonicMs() + this.options.settleWaitMs;
@@ -76,36 +76,36 @@
                 this.drawAhead(budget, reservation.grant);
                 return reservation;
             }
-            const refusal = await this.drawInTurn(budget, tokens);
-            const left = deadline - this.clock.getMonotonicMs();
+            const refusal = await this.drawExclusively(budget, tokens);
+            const remainingMs = deadline - this.clock.getMonotonicMs();
             if (refusal === undefined) {
                 continue;
             }
-            if (left <= 0 || !this.book.hasReserved(budget)) {
-                // While the draw was on its way other runs may have settled.
-                const late = this.book.tryReserve(budget, tokens);
-                if (late !== undefined) {
-                    return late;
+            if (remainingMs <= 0 || !this.book.hasReserved(budget)) {
+                // Other runs may have settled during the draw.
+                const lateReservation = this.book.tryReserve(budget, tokens);
+                if (lateReservation !== undefined) {
+                    return lateReservation;
                 }
                 throw new RefusalError(refusal);
             }
             this.metrics.addCount("router.settle_waits");
-            await this.freed.wait(left);
+            await this.tokensFreed.wait(remainingMs);
         }
     }
 
-    /** Gives back what expired grants have left, and forgets those that are settled. */
-    async returnExpired(): Promise<void> {
+    /** Returns the free tokens of expired grants, and removes the grants that have no open reservations. */
+    async returnExpiredGrants(): Promise<void> {
         const now = this.clock.getMonotonicMs();
-        const due = this.book.getAll().filter(grant => now >= grant.expiresAt);
-        await this.sendReturns(due);
+        const expiredGrants = this.book.getAll().filter(grant => now >= grant.expiresAt);
+        await this.sendReturns(expiredGrants);
     }
 
-    /** At a planned stop: gives everything back. */
-    async returnAll(): Promise<void> {
-        const all = this.book.getAll();
-        all.forEach(grant => grant.retired = true);
-        await this.sendReturns(all);
+    /** Retires all grants and returns their free tokens. For a planned stop. */
+    async returnAllGrants(): Promise<void> {
+        const grants = this.book.getAll();
+        grants.forEach(grant => grant.retired = true);
+        await this.sendReturns(grants);
     }
 
     private getDemand(budget: string): MovingRate {
@@ -117,49 +117,51 @@
         return demand;
     }
 
-    private getWanted(budget: string): number {
+    private computeWantedTokens(budget: string): number {
         const rate = this.getDemand(budget).getRate(this.clock.getMonotonicMs());
         return Math.ceil(rate * this.options.drawAheadMs / 1000);
     }
 
-    /** Draws in the background while there is still something to reserve from. */
+    /** Starts a draw in the background if the grant is running low. */
     private drawAhead(budget: string, grant: RouterGrant): void {
-        const wanted = this.getWanted(budget);
-        if (getGrantFree(grant) < wanted / 2 && !this.drawing.has(budget) && !this.isExhausted(budget, 1)) {
-            void this.drawInTurn(budget, 0);
+        const wantedTokens = this.computeWantedTokens(budget);
+        if (
+            getGrantFree(grant) < wantedTokens / 2 && !this.pendingDraws.has(budget) && !this.isRefusalCached(budget, 1)
+        ) {
+            void this.drawExclusively(budget, 0);
         }
     }
 
-    /** One draw of a budget at a time. Answers why nothing came, if nothing did. */
-    private async drawInTurn(budget: string, need: number): Promise<Refusal | undefined> {
-        while (this.drawing.has(budget)) {
-            await this.drawing.get(budget);
+    /** Draws once no other draw of the budget is in progress. Returns undefined if a reservation may now succeed. */
+    private async drawExclusively(budget: string, need: number): Promise<Refusal | undefined> {
+        while (this.pendingDraws.has(budget)) {
+            await this.pendingDraws.get(budget);
             if (need > 0 && this.book.getOfBudget(budget).some(grant => getGrantFree(grant) >= need)) {
                 return undefined;
             }
         }
-        const known = this.exhausted.get(budget);
-        if (known !== undefined && this.isExhausted(budget, need)) {
-            return known.refusal;
+        const cached = this.cachedRefusals.get(budget);
+        if (cached !== undefined && this.isRefusalCached(budget, need)) {
+            return cached.refusal;
         }
-        const draw = this.drawFromAny(budget, need);
-        this.drawing.set(budget, draw);
+        const draw = this.drawFromNearest(budget, need);
+        this.pendingDraws.set(budget, draw);
         const refusal = await draw;
-        this.drawing.delete(budget);
+        this.pendingDraws.delete(budget);
         return refusal;
     }
 
-    private isExhausted(budget: string, need: number): boolean {
-        const known = this.exhausted.get(budget);
-        return known !== undefined && need >= known.need && this.clock.getMonotonicMs() < known.until;
+    private isRefusalCached(budget: string, need: number): boolean {
+        const cached = this.cachedRefusals.get(budget);
+        return cached !== undefined && need >= cached.need && this.clock.getMonotonicMs() < cached.expiresAt;
     }
 
     /**
-     * Draws from the nearest ledger that can be reached. One that is exhausted has the last word, since it has asked the
-     * others itself; one that is short and could not ask them says budgetUnreachable, and then the next is tried.
+     * Draws from the nearest ledger that can be reached. budgetExhausted is final, since that ledger has asked the others.
+     * After budgetUnreachable, from a ledger that is short and could not ask the others, the next ledger is tried.
      */
-    private async drawFromAny(budget: string, need: number): Promise<Refusal | undefined> {
-        let failed: Refusal | undefined;
+    private async drawFromNearest(budget: string, need: number): Promise<Refusal | undefined> {
+        let lastRefusal: Refusal | undefined;
         for (const controller of this.options.controllers) {
             try {
                 await this.drawFrom(controller, budget, need);
@@ -168,32 +170,46 @@
             catch (error) {
                 const refusal = getRefusal(error);
                 if (refusal.code === "budgetExhausted") {
-                    return this.recordExhaustion(budget, need, refusal);
+                    return this.cacheRefusal(budget, need, refusal);
                 }
-                failed = refusal;
+                lastRefusal = refusal;
             }
         }
-        return this.recordExhaustion(budget, need, createRefusal("budgetUnreachable", failed?.detail ?? failed?.code));
+        return this.cacheRefusal(
+            budget,
+            need,
+            createRefusal("budgetUnreachable", lastRefusal?.detail ?? lastRefusal?.code),
+        );
     }
 
-    private recordExhaustion(budget: string, need: number, cause: Refusal): Refusal {
+    private cacheRefusal(budget: string, need: number, cause: Refusal): Refusal {
         const refusal = createRefusal(
             cause.code,
             `${need} tokens needed; ${cause.detail}`,
             "no",
             RETRY_AFTER_MS,
         );
-        this.exhausted.set(budget, { need, until: this.clock.getMonotonicMs() + EXHAUSTED_MEMORY_MS, refusal });
+        this.cachedRefusals.set(budget, {
+            need,
+            expiresAt: this.clock.getMonotonicMs() + EXHAUSTION_CACHE_MS,
+            refusal,
+        });
         return refusal;
     }
 
     private async drawFrom(controller: ControllerAddress, budget: string, need: number): Promise<void> {
-        const askedAt = this.clock.getMonotonicMs();
+        const startedAt = this.clock.getMonotonicMs();
         const info: LedgerInfo = await this.network.call(controller.address, ledgerInfoMethod, {}, INFO_TIMEOUT_MS);
-        const drawable = this.book.tryGetDrawable(budget, info.ledger, LEAST_LIFE_MS);
+        const drawable = this.book.tryGetDrawable(budget, info.ledger, MIN_REMAINING_LIFETIME_MS);
         const grant = drawable ?? this.book.open(budget, info.ledger, controller.name, info.grantLifeMs);
         grant.drawSequence += 1;
-        const params = { grant: grant.id, budget, sequence: grant.drawSequence, need, want: this.getWanted(budget) };
+        const params = {
+            grant: grant.id,
+            budget,
+            sequence: grant.drawSequence,
+            need,
+            want: this.computeWantedTokens(budget),
+        };
         try {
             const answer = await this.network.call(controller.address, drawMethod, params, DRAW_TIMEOUT_MS);
             grant.granted = Math.max(grant.granted, answer.grantedTotal);
@@ -202,10 +218,10 @@
             this.handleFailedDraw(grant, getRefusal(error));
             throw error;
         }
-        this.metrics.recordTiming("router.draw_ms", this.clock.getMonotonicMs() - askedAt);
+        this.metrics.recordTiming("router.draw_ms", this.clock.getMonotonicMs() - startedAt);
     }
 
-    /** Where it is not known whether a draw arrived, its tokens are left to the ledger to close. */
+    /** If it is unknown whether the ledger granted the draw, retires the grant, which the ledger then closes. */
     private handleFailedDraw(grant: RouterGrant, refusal: Refusal): void {
         if (refusal.code === "peerTimeout" || refusal.code === "peerGone" || refusal.code === "grantClosed") {
             grant.retired = true;
@@ -216,38 +232,38 @@
         }
     }
 
-    /** Gives the free tokens of a budget back at once, because another router needs them. */
-    private async returnFree(budget: string): Promise<number> {
+    /** Returns the free tokens of a budget immediately, because another router needs them. */
+    private async returnFreeTokens(budget: string): Promise<number> {
         const grants = this.book.getOfBudget(budget);
-        const free = grants.reduce((sum, grant) => sum + getGrantFree(grant), 0);
+        const freeTokens = grants.reduce((sum, grant) => sum + getGrantFree(grant), 0);
         await this.sendReturns(grants);
-        return free;
+        return freeTokens;
     }
 
     private async sendReturns(grants: readonly RouterGrant[]): Promise<void> {
-        const byController = new Map<string, RouterGrant[]>();
+        const grantsByController = new Map<string, RouterGrant[]>();
         for (const grant of grants) {
-            const list = byController.get(grant.controller) ?? [];
-            list.push(grant);
-            byController.set(grant.controller, list);
+            const controllerGrants = grantsByController.get(grant.controller) ?? [];
+            controllerGrants.push(grant);
+            grantsByController.set(grant.controller, controllerGrants);
         }
-        await Promise.all([...byController].map(([name, list]) => this.sendReturnsTo(name, list)));
+        await Promise.all([...grantsByController].map(([name, list]) => this.sendReturnsTo(name, list)));
     }
 
-    private async sendReturnsTo(name: string, grants: readonly RouterGrant[]): Promise<void> {
-        const address = this.options.controllers.find(controller => controller.name === name)!.address;
+    private async sendReturnsTo(controllerName: string, grants: readonly RouterGrant[]): Promise<void> {
+        const address = this.options.controllers.find(controller => controller.name === controllerName)!.address;
         const now = this.clock.getMonotonicMs();
         const entries = grants.map(grant => {
-            // Counted as returned before it is sent: if the answer is lost, the tokens are the ledger's.
+            // Deducted before sending: if the response is lost, the ledger may already have reassigned the tokens.
             grant.returned += getGrantFree(grant);
-            const over = grant.retired || now >= grant.expiresAt;
-            return { grant: grant.id, returnedTotal: grant.returned, done: over && grant.reserved === 0 };
+            const isEnded = grant.retired || now >= grant.expiresAt;
+            return { grant: grant.id, returnedTotal: grant.returned, done: isEnded && grant.reserved === 0 };
         });
         try {
             await this.network.call(address, returnMethod, { grants: entries }, RETURN_TIMEOUT_MS);
         }
         catch (error) {
-            this.log.warn("return_failed", { controller: name, code: getRefusal(error).code });
+            this.log.warn("return_failed", { controller: controllerName, code: getRefusal(error).code });
             return;
         }
         entries.forEach((entry, i) => entry.done && this.book.remove(grants[i]!));
--- a/src/daemons/router/progress.ts
+++ b/src/daemons/router/progress.ts
@@ -1,4 +1,4 @@
-/** How far a request has come over its runs, and what the next run of it looks like. */
+/** Progress of a request across its runs, and the parameters of its next run. */
 import type { Upstream } from "../../domain/configView.js";
 import type { Reservation } from "../../domain/grantBook.js";
 import { createRandomId } from "../../domain/identifiers.js";
@@ -6,34 +6,34 @@
 import type { AnswerPiece, RunEnd, StartRunParams } from "../../protocol/runMethods.js";
 import type { Job } from "./job.js";
 
-/** How one run ended, as far as the router knows. */
+/** Outcome of one run as known to the router. */
 export type RunOutcome =
     | { readonly type: "whole"; readonly end: RunEnd; }
     | { readonly type: "failed"; readonly refusal: Refusal; };
 
-/** What the caller of a request has been sent so far, over all runs. */
-export interface Progress {
+/** The part of an answer that has been sent to the caller, across all runs. */
+export interface RequestProgress {
     position: number;
     text: string;
-    /** Output tokens told by runs that ended early. */
+    /** Output tokens sent by runs that ended early. */
     outputTokens: number;
-    /** Whether the answer can be continued by another run from its text alone. */
+    /** Whether another run can continue the answer from `text` alone. */
     resumable: boolean;
-    /** What is known of whether anything ran. */
+    /** Whether any run of the request is known to have executed. */
     ran: Ran;
     promptTokens: number | undefined;
 }
 
-export function createProgress(ran: Ran): Progress {
+export function createProgress(ran: Ran): RequestProgress {
     return { position: 0, text: "", outputTokens: 0, resumable: true, ran, promptTokens: undefined };
 }
 
-export function createOutcome(end: RunEnd): RunOutcome & { end: RunEnd; } {
+export function createRunOutcome(end: RunEnd): RunOutcome & { end: RunEnd; } {
     return end.refusal === undefined ? { type: "whole", end } : { type: "failed", refusal: end.refusal, end };
 }
 
-/** Bounds of the next run: what the caller has had already moves from the output to the prompt. */
-export function getBounds(job: Job, progress: Progress): { promptBound: number; outputCap: number; } {
+/** Computes the token bounds of the next run. Text already sent counts towards the prompt instead of the output. */
+export function computeTokenBounds(job: Job, progress: RequestProgress): { promptBound: number; outputCap: number; } {
     return {
         promptBound: job.promptBound + Buffer.byteLength(progress.text),
         outputCap: Math.max(1, job.outputCap - progress.outputTokens),
@@ -42,11 +42,11 @@
 
 export function createRunParams(
     job: Job,
-    progress: Progress,
+    progress: RequestProgress,
     upstream: Upstream,
     reservation: Reservation,
     uncertain: boolean,
-    leftMs: number,
+    remainingMs: number,
 ): Omit<StartRunParams, "listener"> {
     const request = job.request.type === "chat"
         ? { ...job.request, resumeFrom: progress.position, resumeText: progress.text }
@@ -60,21 +60,21 @@
         upstream: upstream.name,
         budget: job.budget,
         grant: reservation.grant.id,
-        ...getBounds(job, progress),
+        ...computeTokenBounds(job, progress),
         ...job.ranking,
-        deadlineMs: Math.max(0, leftMs),
+        deadlineMs: Math.max(0, remainingMs),
         uncertain,
-        keep: job.keyed || !job.repeatable,
-        cancelWhenLost: !job.keyed && job.repeatable,
+        keep: job.hasIdempotencyKey || !job.repeatable,
+        cancelWhenLost: !job.hasIdempotencyKey && job.repeatable,
         request,
     };
 }
 
-export function getResumeFrom(params: Omit<StartRunParams, "listener">): number {
+export function getResumePosition(params: Omit<StartRunParams, "listener">): number {
     return params.request.type === "chat" ? params.request.resumeFrom : 0;
 }
 
-export function addToProgress(progress: Progress, pieces: readonly AnswerPiece[]): void {
+export function recordPieces(progress: RequestProgress, pieces: readonly AnswerPiece[]): void {
     progress.position += pieces.length;
     for (const piece of pieces) {
         if (!("delta" in piece)) {
@@ -91,7 +91,8 @@
     }
 }
 
-export function getWorse(a: Ran, b: Ran): Ran {
-    const order: readonly Ran[] = ["no", "unknown", "yes"];
-    return order.indexOf(a) >= order.indexOf(b) ? a : b;
+/** Returns the one that allows fewer retries. */
+export function combineRan(a: Ran, b: Ran): Ran {
+    const increasing: readonly Ran[] = ["no", "unknown", "yes"];
+    return increasing.indexOf(a) >= increasing.indexOf(b) ? a : b;
 }
--- a/src/daemons/router/requestRunner.ts
+++ b/src/daemons/router/requestRunner.ts
@@ -1,6 +1,6 @@
 /**
- * Takes one request from its reservation to its whole answer, over as many runs as that needs. Written straight down:
- * claim, intent, reservation, run, settling; then the next attempt, or the final refusal at once.
+ * Processes a request: claim, reservation, intent, run and settlement, with retries until the answer is complete or the
+ * refusal is final.
  */
 import type { ConfigView, Upstream } from "../../domain/configView.js";
 import type { Reservation } from "../../domain/grantBook.js";
@@ -17,32 +17,31 @@
 import type { AnswerSink, Job } from "./job.js";
 import type { LedgerClient } from "./ledgerClient.js";
 import {
-    addToProgress,
-    createOutcome,
+    combineRan,
+    computeTokenBounds,
     createProgress,
+    createRunOutcome,
     createRunParams,
-    getBounds,
-    getResumeFrom,
-    getWorse,
-    type Progress,
+    getResumePosition,
+    recordPieces,
+    type RequestProgress,
     type RunOutcome,
 } from "./progress.js";
 import type { RunClient, RunStream } from "./runClient.js";
 import type { UsageWitness } from "./usageWitness.js";
 
-/** Most attempts of one request at upstreams that could be reached, the first included. */
+/** Including the first attempt. Upstreams that could not be reached are not counted. */
 const MAX_ATTEMPTS = 6;
-/** Attempts to join a run again whose connection was lost, and the pause between them in milliseconds. */
-const REATTACH_ATTEMPTS = 4;
-const REATTACH_PAUSE_MS = 150;
-/** How long another router's run is waited for at its sidecar before the index is asked again, and how often in all. */
-const JOIN_PATIENCE_MS = 250;
-const JOIN_PAUSE_MS = 25;
-const JOIN_ROUNDS = 10;
-const DEADLINE_RETRY_MS = 1_000;
+/** Attempts to rejoin a run after its connection was lost. */
+const MAX_REATTACH_ATTEMPTS = 4;
+const REATTACH_DELAY_MS = 150;
+/** How long to poll a sidecar for a run that another router has announced, before the index is queried again. */
+const JOIN_TIMEOUT_MS = 250;
+const JOIN_POLL_INTERVAL_MS = 25;
+const MAX_JOIN_ATTEMPTS = 10;
+const RETRY_AFTER_MS = 1_000;
 
-/** The parts a request runner works with. */
-export interface RequestRunnerParts {
+export interface RequestRunnerDependencies {
     readonly view: ConfigView;
     readonly clock: Clock;
     readonly log: Log;
@@ -58,49 +57,49 @@
 export class RequestRunner {
     private readonly retryBudgets = new Map<string, RetryBudget>();
 
-    constructor(private readonly parts: RequestRunnerParts) {}
+    constructor(private readonly deps: RequestRunnerDependencies) {}
 
-    /** Answers one request by its sink: whole, or refused. Never rejects. */
+    /** Writes the complete answer or a refusal to the sink. Never rejects. */
     async run(job: Job, sink: AnswerSink): Promise<void> {
-        const startedAt = this.parts.clock.getMonotonicMs();
+        const startedAt = this.deps.clock.getMonotonicMs();
         const fields = { request: job.requestId, account: job.account, service: job.service };
         try {
-            const usage = await this.runToEnd(job, sink);
+            const usage = await this.claimAndRun(job, sink);
             sink.end(usage);
-            const ms = this.parts.clock.getMonotonicMs() - startedAt;
-            this.parts.log.info("request_answered", {
+            const durationMs = this.deps.clock.getMonotonicMs() - startedAt;
+            this.deps.log.info("request_answered", {
                 ...fields,
                 ...{ prompt_tokens: usage.promptTokens, output_tokens: usage.outputTokens },
-                ms: Math.round(ms),
+                ms: Math.round(durationMs),
             });
-            this.parts.metrics.addCount("router.requests_answered");
+            this.deps.metrics.addCount("router.requests_answered");
         }
         catch (error) {
             const refusal = getRefusal(error);
             sink.fail(refusal);
-            this.parts.log.info("request_refused", {
+            this.deps.log.info("request_refused", {
                 ...fields,
                 code: refusal.code,
                 ran: refusal.ran,
                 detail: refusal.detail,
             });
-            this.parts.metrics.addCount(`router.refused.${refusal.code}`);
+            this.deps.metrics.addCount(`router.refused.${refusal.code}`);
         }
     }
 
-    private async runToEnd(job: Job, sink: AnswerSink): Promise<{ promptTokens: number; outputTokens: number; }> {
-        if (!job.keyed) {
+    private async claimAndRun(job: Job, sink: AnswerSink): Promise<{ promptTokens: number; outputTokens: number; }> {
+        if (!job.hasIdempotencyKey) {
             return this.runClaimed(job, sink, false);
         }
-        for (let round = 0; round < JOIN_ROUNDS; round++) {
-            const standing = await this.parts.claims.claim(job, job.deadline);
-            if (standing.type === "claimed") {
-                return this.runClaimed(job, sink, standing.uncertain);
+        for (let attempt = 0; attempt < MAX_JOIN_ATTEMPTS; attempt++) {
+            const claim = await this.deps.claims.claim(job, job.deadline);
+            if (claim.type === "claimed") {
+                return this.runClaimed(job, sink, claim.uncertain);
             }
-            // The other router says where the run will be before it sends it there, so it may not have arrived yet.
-            const joined = await this.tryJoin(job, sink, standing.sidecar);
-            if (joined !== undefined) {
-                return joined;
+            // The other router records the dispatch before it sends the run, so the run may not have arrived yet.
+            const usage = await this.tryJoin(job, sink, claim.sidecar);
+            if (usage !== undefined) {
+                return usage;
             }
         }
         if (!job.repeatable) {
@@ -109,14 +108,14 @@
         return this.runClaimed(job, sink, true);
     }
 
-    /** Joins a run that another router began. Undefined where its sidecar or its answer is gone. */
+    /** Joins a run that another router started. Returns undefined if the sidecar or the answer is no longer available. */
     private async tryJoin(
         job: Job,
         sink: AnswerSink,
         sidecar: string,
     ): Promise<{ promptTokens: number; outputTokens: number; } | undefined> {
         const progress = createProgress("unknown");
-        const outcome = await this.reattach(job, sink, sidecar, progress, JOIN_PATIENCE_MS);
+        const outcome = await this.reattach(job, sink, sidecar, progress, JOIN_TIMEOUT_MS);
         if (outcome === undefined) {
             return undefined;
         }
@@ -129,19 +128,19 @@
         return outcome.end;
     }
 
-    /** Runs a request that is this router's to run. */
+    /** Runs a request that this router has claimed, or that has no idempotency key. */
     private async runClaimed(
         job: Job,
         sink: AnswerSink,
         uncertain: boolean,
     ): Promise<{ promptTokens: number; outputTokens: number; }> {
         const progress = createProgress(uncertain ? "unknown" : "no");
-        let home: ControllerAddress | undefined;
+        let intentController: ControllerAddress | undefined;
         try {
-            // Reserved first, so that a request without budget leaves no intent behind.
+            // Reserve first, so that a request without budget leaves no intent behind.
             const reservation = await this.reserve(job, progress);
             if (!job.repeatable) {
-                home = await this.intend(job, reservation);
+                intentController = await this.storeIntent(job, reservation);
             }
             return await this.runAttempts(job, sink, progress, reservation, uncertain);
         }
@@ -149,15 +148,15 @@
             const refusal = getRefusal(error);
             const ran = progress.ran === "no" ? refusal.ran : progress.ran;
             if (ran === "no") {
-                await this.giveUp(job, home);
+                await this.releaseIntentAndClaim(job, intentController);
             }
             throw new RefusalError({ ...refusal, ran });
         }
     }
 
-    private async intend(job: Job, reservation: Reservation): Promise<ControllerAddress> {
+    private async storeIntent(job: Job, reservation: Reservation): Promise<ControllerAddress> {
         try {
-            return await this.parts.intents.intend(job, job.keyed);
+            return await this.deps.intents.storeIntent(job, job.hasIdempotencyKey);
         }
         catch (error) {
             reservation.settle(0);
@@ -165,35 +164,35 @@
         }
     }
 
-    /** Nothing ran and nothing will: takes intent and claim back, so that a retry may run. */
-    private async giveUp(job: Job, home: ControllerAddress | undefined): Promise<void> {
-        if (home !== undefined) {
-            await this.parts.intents.withdraw(job, home);
+    /** Withdraws the intent and releases the claim of a request that did not run, so that a retry may run. */
+    private async releaseIntentAndClaim(job: Job, intentController: ControllerAddress | undefined): Promise<void> {
+        if (intentController !== undefined) {
+            await this.deps.intents.withdrawIntent(job, intentController);
         }
-        if (job.keyed) {
-            await this.parts.claims.unclaim(job);
+        if (job.hasIdempotencyKey) {
+            await this.deps.claims.releaseClaim(job);
         }
     }
 
     private async runAttempts(
         job: Job,
         sink: AnswerSink,
-        progress: Progress,
-        first: Reservation,
+        progress: RequestProgress,
+        firstReservation: Reservation,
         uncertain: boolean,
     ): Promise<{ promptTokens: number; outputTokens: number; }> {
-        const tried = new Set<string>();
-        let reservation: Reservation | undefined = first;
-        let last: Refusal | undefined;
+        const triedUpstreams = new Set<string>();
+        let reservation: Reservation | undefined = firstReservation;
+        let lastRefusal: Refusal | undefined;
         this.getRetryBudget(job.service).recordRequest();
         for (let attempt = 0; attempt < MAX_ATTEMPTS;) {
-            const upstream = this.tryChoose(job, tried, last);
+            const upstream = this.tryChooseUpstream(job, triedUpstreams, lastRefusal);
             if (upstream === undefined) {
                 reservation?.settle(0);
-                throw new RefusalError(last ?? createRefusal("noUpstream", job.service, "no", 1000));
+                throw new RefusalError(lastRefusal ?? createRefusal("noUpstream", job.service, "no", 1000));
             }
             reservation ??= await this.reserve(job, progress);
-            const outcome: RunOutcome = await this.runOnce(
+            const outcome: RunOutcome = await this.runAttempt(
                 job,
                 sink,
                 progress,
@@ -203,76 +202,80 @@
             );
             reservation = undefined;
             if (outcome.type === "whole") {
-                this.parts.chooser.recordPrompt(upstream.name, job.prompt);
+                this.deps.chooser.recordPrompt(upstream.name, job.prompt);
                 return {
                     promptTokens: progress.promptTokens ?? outcome.end.promptTokens,
                     outputTokens: progress.outputTokens + outcome.end.outputTokens,
                 };
             }
-            last = outcome.refusal;
-            // One that could not even be reached costs nothing, and is not tried twice.
-            attempt += last.code === "peerGone" && last.ran === "no" ? 0 : 1;
-            tried.add(upstream.name);
-            this.checkMayRetry(job, sink, progress, last);
+            lastRefusal = outcome.refusal;
+            // An upstream that could not be reached does not count as an attempt.
+            attempt += lastRefusal.code === "peerGone" && lastRefusal.ran === "no" ? 0 : 1;
+            triedUpstreams.add(upstream.name);
+            this.checkRetryAllowed(job, sink, progress, lastRefusal);
         }
-        throw new RefusalError(last ?? createRefusal("noUpstream", job.service, "no", 1000));
+        throw new RefusalError(lastRefusal ?? createRefusal("noUpstream", job.service, "no", 1000));
     }
 
-    /** Throws the final refusal where another attempt is not allowed or would not help. */
-    private checkMayRetry(job: Job, sink: AnswerSink, progress: Progress, refusal: Refusal): void {
-        const ranBefore = progress.ran;
-        progress.ran = getWorse(ranBefore, refusal.ran);
+    /** Throws the final refusal if another attempt is not allowed or would fail as well. */
+    private checkRetryAllowed(job: Job, sink: AnswerSink, progress: RequestProgress, refusal: Refusal): void {
+        const previousRan = progress.ran;
+        progress.ran = combineRan(previousRan, refusal.ran);
         const isFinal = refusal.code === "upstreamRefused"
             || refusal.code === "runCancelled"
             || refusal.code === "deadlinePassed"
             || refusal.code === "requestIdReused"
             || refusal.code === "readerTooSlow";
-        const now = this.parts.clock.getMonotonicMs();
+        const now = this.deps.clock.getMonotonicMs();
         const mayRunAgain = refusal.ran === "no" || (job.repeatable && (progress.resumable || !sink.hasBegun()));
         if (isFinal || sink.isGone() || now >= job.deadline || !mayRunAgain) {
             throw new RefusalError(
                 refusal.ran === "unknown" && !job.repeatable ? { ...refusal, code: "outcomeUnknown" } : refusal,
             );
         }
-        const feedsOverload = refusal.code === "queueFull" || refusal.code === "deadlineTooClose"
+        const spendsRetryBudget = refusal.code === "queueFull" || refusal.code === "deadlineTooClose"
             || refusal.ran !== "no";
-        if (feedsOverload && !this.getRetryBudget(job.service).trySpend()) {
+        if (spendsRetryBudget && !this.getRetryBudget(job.service).trySpend()) {
             throw new RefusalError(refusal);
         }
-        this.parts.metrics.addCount("router.retries");
+        this.deps.metrics.addCount("router.retries");
     }
 
-    private tryChoose(job: Job, tried: Set<string>, last: Refusal | undefined): Upstream | undefined {
-        const now = this.parts.clock.getMonotonicMs();
-        const { view } = this.parts;
-        const open = view.getUpstreams(job.service).filter(upstream => view.isInService(upstream));
-        const untried = open.filter(upstream => !tried.has(upstream.name));
+    private tryChooseUpstream(
+        job: Job,
+        triedUpstreams: Set<string>,
+        lastRefusal: Refusal | undefined,
+    ): Upstream | undefined {
+        const now = this.deps.clock.getMonotonicMs();
+        const { view } = this.deps;
+        const inService = view.getUpstreams(job.service).filter(upstream => view.isInService(upstream));
+        const untried = inService.filter(upstream => !triedUpstreams.has(upstream.name));
         if (untried.length > 0) {
-            return this.parts.chooser.tryChoose(untried, job.prompt, now);
+            return this.deps.chooser.tryChoose(untried, job.prompt, now);
         }
-        if (last?.ran === "no") {
+        if (lastRefusal?.ran === "no") {
             return undefined;
         }
-        // All have been tried: one that broke off before may be better now. Attempts and retry budget bound it.
-        tried.clear();
-        return this.parts.chooser.tryChoose(open, job.prompt, now);
+        // All have been tried: retry those that failed mid-run, limited by MAX_ATTEMPTS and the retry budget.
+        triedUpstreams.clear();
+        return this.deps.chooser.tryChoose(inService, job.prompt, now);
     }
 
-    private reserve(job: Job, progress: Progress): Promise<Reservation> {
-        const bounds = getBounds(job, progress);
-        return this.parts.ledgers.reserve(job.budget, bounds.promptBound + bounds.outputCap);
+    private reserve(job: Job, progress: RequestProgress): Promise<Reservation> {
+        const bounds = computeTokenBounds(job, progress);
+        return this.deps.ledgers.reserve(job.budget, bounds.promptBound + bounds.outputCap);
     }
 
-    /** One run at one upstream; its reservation is settled or held when this resolves. */
-    private async runOnce(
+    /** Runs the request once at an upstream. The reservation is settled or held when this resolves. */
+    private async runAttempt(
         job: Job,
         sink: AnswerSink,
-        progress: Progress,
+        progress: RequestProgress,
         upstream: Upstream,
         reservation: Reservation,
         uncertain: boolean,
     ): Promise<RunOutcome> {
-        const { chooser, clock } = this.parts;
+        const { chooser, clock } = this.deps;
         const load = chooser.getLoad(upstream.name);
         const params = createRunParams(
             job,
@@ -284,10 +287,14 @@
         );
         load.inFlight += 1;
         try {
-            if (job.keyed) {
-                await this.parts.claims.place(job, upstream.sidecar);
+            if (job.hasIdempotencyKey) {
+                await this.deps.claims.recordDispatch(job, upstream.sidecar);
             }
-            const started = await this.parts.runs.start(upstream.sidecar, params, () => this.checkUsable(reservation));
+            const started = await this.deps.runs.start(
+                upstream.sidecar,
+                params,
+                () => this.checkReservationUsable(reservation),
+            );
             chooser.recordLoad(upstream.name, started.load.waitMs, clock.getMonotonicMs());
             return await this.readRun(job, sink, progress, started.stream, upstream, reservation, params);
         }
@@ -298,21 +305,21 @@
                 reservation.settle(0);
                 return { type: "failed", refusal };
             }
-            return this.recoverStart(job, sink, progress, upstream, reservation, params, refusal);
+            return this.recoverUncertainStart(job, sink, progress, upstream, reservation, params, refusal);
         }
         finally {
             load.inFlight -= 1;
         }
     }
 
-    private checkUsable(reservation: Reservation): void {
-        if (!reservation.isUsable(this.parts.clock.getMonotonicMs())) {
+    private checkReservationUsable(reservation: Reservation): void {
+        if (!reservation.isUsable(this.deps.clock.getMonotonicMs())) {
             throw new RefusalError(createRefusal("grantClosed", "the grant expired before the run was sent"));
         }
     }
 
     private handleFailedStart(upstream: Upstream, refusal: Refusal): void {
-        const { chooser, clock } = this.parts;
+        const { chooser, clock } = this.deps;
         if (refusal.code === "peerGone" || refusal.code === "peerTimeout" || refusal.code === "draining") {
             chooser.avoid(upstream.name, clock.getMonotonicMs());
         }
@@ -321,11 +328,11 @@
         }
     }
 
-    /** It is not known whether the sidecar took the run in: looks for it there, before anything else is tried. */
-    private async recoverStart(
+    /** Tries to attach to a run that the sidecar may or may not have accepted. */
+    private async recoverUncertainStart(
         job: Job,
         sink: AnswerSink,
-        progress: Progress,
+        progress: RequestProgress,
         upstream: Upstream,
         reservation: Reservation,
         params: Omit<StartRunParams, "listener">,
@@ -333,18 +340,18 @@
     ): Promise<RunOutcome> {
         const outcome = await this.reattach(job, sink, upstream.sidecar, progress);
         if (outcome !== undefined) {
-            this.settle(outcome, progress, reservation, params);
+            this.settleReservation(outcome, progress, reservation, params);
             return outcome;
         }
         reservation.hold(0);
         return { type: "failed", refusal: { ...refusal, ran: "unknown" } };
     }
 
-    /** Reads a run to its end; joins it again when the connection is lost. */
+    /** Reads a run to its end; reattaches if the connection is lost. */
     private async readRun(
         job: Job,
         sink: AnswerSink,
-        progress: Progress,
+        progress: RequestProgress,
         stream: RunStream,
         upstream: Upstream,
         reservation: Reservation,
@@ -352,38 +359,38 @@
     ): Promise<RunOutcome> {
         try {
             const end = await this.readStream(job, sink, progress, stream, reservation);
-            const outcome = createOutcome(this.markDeadline(job, end));
-            this.settle(outcome, progress, reservation, params);
+            const outcome = createRunOutcome(this.convertLateCancellation(job, end));
+            this.settleReservation(outcome, progress, reservation, params);
             return outcome;
         }
         catch (error) {
             const refusal = getRefusal(error);
-            this.parts.chooser.avoid(upstream.name, this.parts.clock.getMonotonicMs());
+            this.deps.chooser.avoid(upstream.name, this.deps.clock.getMonotonicMs());
             const outcome = await this.reattach(job, sink, upstream.sidecar, progress);
             if (outcome !== undefined) {
-                this.settle(outcome, progress, reservation, params);
+                this.settleReservation(outcome, progress, reservation, params);
                 return outcome;
             }
-            const relayed = progress.position - getResumeFrom(params);
-            this.parts.witness.record(params, progress.promptTokens ?? 0, relayed);
-            reservation.hold((progress.promptTokens ?? 0) + relayed);
-            progress.outputTokens += relayed;
+            const relayedTokens = progress.position - getResumePosition(params);
+            this.deps.witness.record(params, progress.promptTokens ?? 0, relayedTokens);
+            reservation.hold((progress.promptTokens ?? 0) + relayedTokens);
+            progress.outputTokens += relayedTokens;
             return { type: "failed", refusal: { ...refusal, ran: "unknown" } };
         }
     }
 
-    /** A run that was cancelled because its deadline passed says so, and when to come back. */
-    private markDeadline(job: Job, end: RunEnd): RunEnd {
-        const isLate = this.parts.clock.getMonotonicMs() >= job.deadline;
-        if (end.refusal?.code !== "runCancelled" || !isLate) {
+    /** Replaces the refusal of a run that was cancelled at its deadline by deadlinePassed. */
+    private convertLateCancellation(job: Job, end: RunEnd): RunEnd {
+        const isPastDeadline = this.deps.clock.getMonotonicMs() >= job.deadline;
+        if (end.refusal?.code !== "runCancelled" || !isPastDeadline) {
             return end;
         }
-        return { ...end, refusal: createRefusal("deadlinePassed", undefined, end.refusal.ran, DEADLINE_RETRY_MS) };
+        return { ...end, refusal: createRefusal("deadlinePassed", undefined, end.refusal.ran, RETRY_AFTER_MS) };
     }
 
-    private settle(
+    private settleReservation(
         outcome: RunOutcome,
-        progress: Progress,
+        progress: RequestProgress,
         reservation: Reservation,
         params: Omit<StartRunParams, "listener">,
     ): void {
@@ -397,34 +404,34 @@
             return;
         }
         reservation.settle(end.promptTokens + end.outputTokens);
-        progress.outputTokens += progress.position - getResumeFrom(params);
+        progress.outputTokens += progress.position - getResumePosition(params);
     }
 
     /**
-     * Joins a run at its sidecar from what the caller has had. Undefined where that is not possible: then the run may
-     * have ended, or go on unseen.
+     * Attaches to a run at its sidecar, from the caller's position on. Returns undefined if that fails; the run may then
+     * have ended or still be running.
      */
     private async reattach(
         job: Job,
         sink: AnswerSink,
         sidecar: string,
-        progress: Progress,
-        patienceMs = 0,
+        progress: RequestProgress,
+        startTimeoutMs = 0,
     ): Promise<RunOutcome | undefined> {
-        const patientUntil = this.parts.clock.getMonotonicMs() + patienceMs;
-        for (let attempt = 0; attempt < REATTACH_ATTEMPTS;) {
+        const startDeadline = this.deps.clock.getMonotonicMs() + startTimeoutMs;
+        for (let attempt = 0; attempt < MAX_REATTACH_ATTEMPTS;) {
             try {
-                const stream = await this.parts.runs.attach(sidecar, job.requestId, job.digest, progress.position);
-                return createOutcome(await this.readStream(job, sink, progress, stream, undefined));
+                const stream = await this.deps.runs.attach(sidecar, job.requestId, job.digest, progress.position);
+                return createRunOutcome(await this.readStream(job, sink, progress, stream, undefined));
             }
             catch (error) {
                 const refusal = getRefusal(error);
                 if (refusal.code === "requestIdReused") {
                     throw error;
                 }
-                const isNotThereYet = refusal.code === "answerNotKept" && refusal.ran === "unknown";
-                if (isNotThereYet && this.parts.clock.getMonotonicMs() < patientUntil) {
-                    await this.parts.clock.wait(JOIN_PAUSE_MS);
+                const mayNotHaveArrived = refusal.code === "answerNotKept" && refusal.ran === "unknown";
+                if (mayNotHaveArrived && this.deps.clock.getMonotonicMs() < startDeadline) {
+                    await this.deps.clock.wait(JOIN_POLL_INTERVAL_MS);
                     continue;
                 }
                 if (refusal.code !== "peerGone" && refusal.code !== "peerTimeout") {
@@ -435,20 +442,20 @@
                 }
             }
             attempt += 1;
-            await this.parts.clock.wait(REATTACH_PAUSE_MS);
+            await this.deps.clock.wait(REATTACH_DELAY_MS);
         }
         return undefined;
     }
 
-    /** Passes an answer on until its end. Rejects where the connection is lost or the answer has a hole. */
+    /** Relays an answer to its end. Rejects if the connection is lost or pieces are missing. */
     private async readStream(
         job: Job,
         sink: AnswerSink,
-        progress: Progress,
+        progress: RequestProgress,
         stream: RunStream,
         reservation: Reservation | undefined,
     ): Promise<RunEnd> {
-        const stopWatching = this.watchCaller(job, sink, stream);
+        const stopTimer = this.startCancellationTimer(job, sink, stream);
         try {
             for (;;) {
                 const event = await stream.next();
@@ -457,23 +464,23 @@
                 }
                 if (event.promptTokens !== undefined && progress.promptTokens === undefined) {
                     progress.promptTokens = event.promptTokens;
-                    reservation?.shrink(event.promptTokens + getBounds(job, progress).outputCap);
+                    reservation?.shrink(event.promptTokens + computeTokenBounds(job, progress).outputCap);
                 }
-                addToProgress(progress, event.pieces);
+                recordPieces(progress, event.pieces);
                 await sink.writePieces(event.pieces);
                 stream.acknowledge();
             }
         }
         finally {
-            stopWatching();
+            stopTimer();
         }
     }
 
-    /** Cancels the run when its deadline passes, or its caller is gone and cannot come back for the answer. */
-    private watchCaller(job: Job, sink: AnswerSink, stream: RunStream): () => void {
+    /** Cancels the run at its deadline, or once its caller has disconnected and cannot retrieve the answer later. */
+    private startCancellationTimer(job: Job, sink: AnswerSink, stream: RunStream): () => void {
         const timer = setInterval(() => {
-            const late = this.parts.clock.getMonotonicMs() > job.deadline;
-            if (late || (sink.isGone() && !job.keyed && job.repeatable)) {
+            const isPastDeadline = this.deps.clock.getMonotonicMs() > job.deadline;
+            if (isPastDeadline || (sink.isGone() && !job.hasIdempotencyKey && job.repeatable)) {
                 stream.cancel();
             }
         }, 100);
--- a/src/daemons/router/routerDaemon.ts
+++ b/src/daemons/router/routerDaemon.ts
@@ -1,4 +1,4 @@
-/** One router: takes callers' requests and sees each to its answer. Keeps nothing on disk. */
+/** Router daemon: accepts callers' requests and answers them. Stores nothing on disk. */
 import { RefusalError } from "../../domain/resultCodes.js";
 import type { Clock } from "../../ports/clock.js";
 import type { Log } from "../../ports/log.js";
@@ -13,23 +13,21 @@
 import type { RequestRunner } from "./requestRunner.js";
 import type { RunClient } from "./runClient.js";
 
-const FLUSH_PERIOD_MS = 50;
-const RETURN_PERIOD_MS = 500;
-const DRAIN_TURN_MS = 50;
+const USAGE_FLUSH_PERIOD_MS = 50;
+const GRANT_RETURN_PERIOD_MS = 500;
+const DRAIN_POLL_INTERVAL_MS = 50;
 
-/** Times in milliseconds. */
 export interface RouterOptions {
-    /** Requests open at once. */
     readonly maxOpenRequests: number;
-    /** How long a stopping router goes on taking requests, so that the balancer can notice. */
+    /** How long a stopping router still accepts requests, until load balancers have removed it. */
     readonly lameDuckMs: number;
-    /** Longest that a planned stop waits for open requests. */
+    /** How long a planned stop waits for open requests at most. */
     readonly drainMs: number;
 }
 
 export class RouterDaemon {
-    private open = 0;
-    private stopping = false;
+    private openRequests = 0;
+    private isStopping = false;
     private readonly tasks: RepeatingTask[];
 
     constructor(
@@ -48,8 +46,8 @@
         runs.addHandlers(handlers);
         ledgers.addHandlers(handlers);
         this.tasks = [
-            new RepeatingTask("usage", clock, log, FLUSH_PERIOD_MS, () => outbox.flush()),
-            new RepeatingTask("returns", clock, log, RETURN_PERIOD_MS, () => ledgers.returnExpired()),
+            new RepeatingTask("usage", clock, log, USAGE_FLUSH_PERIOD_MS, () => outbox.flush()),
+            new RepeatingTask("returns", clock, log, GRANT_RETURN_PERIOD_MS, () => ledgers.returnExpiredGrants()),
         ];
     }
 
@@ -57,9 +55,9 @@
         this.tasks.forEach(task => task.start());
     }
 
-    /** "stale": it serves, with a configuration that may not be the newest. */
+    /** "stale": the router serves, but its configuration may be outdated. */
     getReadiness(): "ready" | "stale" | "starting" | "stopping" {
-        if (this.stopping) {
+        if (this.isStopping) {
             return "stopping";
         }
         if (!this.config.isReady()) {
@@ -68,45 +66,45 @@
         return this.config.isFresh() ? "ready" : "stale";
     }
 
-    /** Throws where no request can be taken now. */
+    /** Throws a RefusalError if the router cannot accept a request now. */
     checkOpen(): void {
-        const refusal = tryGetReadinessRefusal(this.config.isReady(), this.open, this.options.maxOpenRequests);
+        const refusal = tryGetReadinessRefusal(this.config.isReady(), this.openRequests, this.options.maxOpenRequests);
         if (refusal !== undefined) {
             throw new RefusalError(refusal);
         }
     }
 
-    /** Sees a request to its answer. Never rejects. */
+    /** Runs a job and writes its answer to the sink. Never rejects. */
     async answer(job: Job, sink: AnswerSink): Promise<void> {
-        this.open += 1;
-        this.metrics.setGauge("router.open_requests", this.open);
+        this.openRequests += 1;
+        this.metrics.setGauge("router.open_requests", this.openRequests);
         try {
             await this.runner.run(job, sink);
         }
         finally {
-            this.open -= 1;
+            this.openRequests -= 1;
         }
     }
 
     getFigures(): Record<string, number> {
-        return { open_requests: this.open, usage_waiting: this.outbox.getSize() };
+        return { open_requests: this.openRequests, usage_waiting: this.outbox.getSize() };
     }
 
-    /** First part of a planned stop: says so to the balancer and goes on serving until it has noticed. */
+    /** First phase of a planned stop: reports "stopping" and keeps serving until load balancers have removed the router. */
     async prepareStop(): Promise<void> {
-        this.stopping = true;
+        this.isStopping = true;
         await this.clock.wait(this.options.lameDuckMs);
     }
 
-    /** Last part: lets every open request end, gives the grants back, hands the usage records over. */
+    /** Second phase of a planned stop: drains open requests, returns the grants and flushes the usage records. */
     async finishStop(): Promise<void> {
         const deadline = this.clock.getMonotonicMs() + this.options.drainMs;
-        while (this.open > 0 && this.clock.getMonotonicMs() < deadline) {
-            await this.clock.wait(DRAIN_TURN_MS);
+        while (this.openRequests > 0 && this.clock.getMonotonicMs() < deadline) {
+            await this.clock.wait(DRAIN_POLL_INTERVAL_MS);
         }
         await Promise.all(this.tasks.map(task => task.stop()));
-        await this.ledgers.returnAll();
+        await this.ledgers.returnAllGrants();
         await this.outbox.flush();
-        this.log.info("router_drained", { requests_left: this.open, records_left: this.outbox.getSize() });
+        this.log.info("router_drained", { requests_left: this.openRequests, records_left: this.outbox.getSize() });
     }
 }
--- a/src/daemons/router/runClient.ts
+++ b/src/daemons/router/runClient.ts
@@ -1,4 +1,4 @@
-/** A router's side of runs: starts or joins them at sidecars, and sorts what comes back to whoever listens. */
+/** Client of runs at sidecars: starts or joins runs, and dispatches their chunks to the streams that read them. */
 import { createRandomId } from "../../domain/identifiers.js";
 import { createRefusal, RefusalError } from "../../domain/resultCodes.js";
 import type { Peer, PeerHandlers, PeerNetwork } from "../../ports/peer.js";
@@ -18,24 +18,24 @@
 
 const START_TIMEOUT_MS = 2_000;
 const ATTACH_TIMEOUT_MS = 1_000;
-/** Pieces after which the sidecar is told how far the caller has read. */
-const ACK_EVERY = 32;
+/** Pieces between acknowledgements to the sidecar. */
+const ACK_INTERVAL_PIECES = 32;
 
 type StreamItem = { readonly type: "chunk"; readonly chunk: RunChunk; } | {
     readonly type: "end";
     readonly end: RunEnd;
 };
 
-/** What a listener gets: the next pieces of the answer, or its end. */
+/** The next pieces of an answer, or its end. */
 export type RunEvent =
     | { readonly type: "pieces"; readonly pieces: readonly AnswerPiece[]; readonly promptTokens: number | undefined; }
     | { readonly type: "end"; readonly end: RunEnd; };
 
-/** One answer as it arrives. */
+/** The answer of a run as a stream of events. */
 export class RunStream {
     private readonly items: StreamItem[] = [];
-    private wake: (() => void) | undefined;
-    private lost = false;
+    private wakeReader: (() => void) | undefined;
+    private isDisconnected = false;
     private ackedPosition: number;
     runId = "";
 
@@ -43,33 +43,33 @@
         readonly listener: string,
         private readonly peer: Peer,
         private position: number,
-        private readonly forget: () => void,
+        private readonly unregister: () => void,
     ) {
         this.ackedPosition = position;
     }
 
-    /** Position up to which the answer has been handed over. */
+    /** Returns the position after the last piece returned by `next`. */
     getPosition(): number {
         return this.position;
     }
 
-    /** The next event. Rejects with peerGone when the connection is lost, and where pieces are missing. */
+    /** Returns the next event. Rejects with peerGone if the connection is lost, with peerMalformed if pieces are missing. */
     async next(): Promise<RunEvent> {
         while (this.items.length === 0) {
-            if (this.lost) {
-                throw new RefusalError(createRefusal("peerGone", "the sidecar was lost", "unknown"));
+            if (this.isDisconnected) {
+                throw new RefusalError(createRefusal("peerGone", "connection to the sidecar lost", "unknown"));
             }
             await new Promise<void>(resolve => {
-                this.wake = resolve;
+                this.wakeReader = resolve;
             });
         }
         const item = this.items.shift()!;
-        return item.type === "end" ? this.takeEnd(item.end) : this.takeChunk(item.chunk);
+        return item.type === "end" ? this.readEnd(item.end) : this.readChunk(item.chunk);
     }
 
-    /** Tells the sidecar that everything handed over so far has been passed on. */
+    /** Acknowledges the pieces that `next` has returned so far, at most once per ACK_INTERVAL_PIECES. */
     acknowledge(): void {
-        if (this.position - this.ackedPosition >= ACK_EVERY) {
+        if (this.position - this.ackedPosition >= ACK_INTERVAL_PIECES) {
             this.ackedPosition = this.position;
             this.peer.notify(runAckMethod, { runId: this.runId, listener: this.listener, position: this.position });
         }
@@ -79,31 +79,39 @@
         this.peer.notify(cancelRunMethod, { runId: this.runId });
     }
 
-    add(item: StreamItem): void {
+    enqueue(item: StreamItem): void {
         this.items.push(item);
-        this.wake?.();
+        this.wakeReader?.();
     }
 
-    lose(): void {
-        this.lost = true;
-        this.wake?.();
+    handleDisconnect(): void {
+        this.isDisconnected = true;
+        this.wakeReader?.();
     }
 
-    private takeEnd(end: RunEnd): RunEvent {
-        this.forget();
+    private readEnd(end: RunEnd): RunEvent {
+        this.unregister();
         if (end.refusal === undefined && end.position !== this.position) {
             throw new RefusalError(
-                createRefusal("peerMalformed", `the answer ends at ${end.position}, not ${this.position}`, "unknown"),
+                createRefusal(
+                    "peerMalformed",
+                    `answer ends at piece ${end.position}, expected ${this.position}`,
+                    "unknown",
+                ),
             );
         }
         return { type: "end", end };
     }
 
-    /** An answer never mixes runs and never has a hole: a chunk must be of this run, and begin where the last ended. */
-    private takeChunk(chunk: RunChunk): RunEvent {
+    /** Checks that a chunk belongs to this run and leaves no gap, and returns the pieces that are new. */
+    private readChunk(chunk: RunChunk): RunEvent {
         if (chunk.runId !== this.runId || chunk.position > this.position) {
             throw new RefusalError(
-                createRefusal("peerMalformed", `piece ${chunk.position} of ${chunk.runId} out of order`, "unknown"),
+                createRefusal(
+                    "peerMalformed",
+                    `chunk at piece ${chunk.position} of run ${chunk.runId} is out of order`,
+                    "unknown",
+                ),
             );
         }
         const pieces = chunk.pieces.slice(this.position - chunk.position);
@@ -119,16 +127,16 @@
 
     addHandlers(handlers: PeerHandlers): void {
         handlers.add(runChunkMethod, chunk => {
-            this.streams.get(chunk.listener)?.add({ type: "chunk", chunk });
+            this.streams.get(chunk.listener)?.enqueue({ type: "chunk", chunk });
         });
         handlers.add(runEndMethod, end => {
-            this.streams.get(end.listener)?.add({ type: "end", end });
+            this.streams.get(end.listener)?.enqueue({ type: "end", end });
         });
     }
 
     /**
-     * Starts a run. `checkBeforeSend` is called once a connection stands, right before the run is sent. Rejects with
-     * `ran` "no" only where the run was certainly not taken in.
+     * Starts a run. `checkBeforeSend` is called once connected, immediately before the run is sent. Rejects with `ran` "no"
+     * only if the sidecar has not accepted the run.
      */
     async start(
         address: string,
@@ -150,7 +158,7 @@
         }
     }
 
-    /** Joins a run that is going on, or has ended and is kept, from piece `from` on. */
+    /** Joins a run that is in progress, or has ended and is retained, from piece `from` on. */
     async attach(address: string, requestId: string, digest: string, from: number): Promise<RunStream> {
         const peer = await this.network.connect(address);
         const stream = this.createStream(peer, from);
@@ -167,10 +175,10 @@
 
     private createStream(peer: Peer, from: number): RunStream {
         const listener = createRandomId();
-        const stopWatching = peer.onClose(() => stream.lose());
+        const removeCloseHandler = peer.onClose(() => stream.handleDisconnect());
         const stream = new RunStream(listener, peer, from, () => {
             this.streams.delete(listener);
-            stopWatching();
+            removeCloseHandler();
         });
         this.streams.set(listener, stream);
         return stream;
