--- a/bench/relayBench.ts
+++ b/bench/relayBench.ts
@@ -5,7 +5,7 @@
 import { spawn } from "node:child_process";
 import { readFileSync } from "node:fs";
 import { fileURLToPath } from "node:url";
-import { askChatAt } from "../src/replay/chatCaller.js";
+import { sendChatRequest } from "../src/replay/chatClient.js";
 import { Fleet, type FleetProcess } from "../test/tools/fleet.js";
 
 const SECONDS = 6;
@@ -36,7 +36,7 @@
     const until = performance.now() + SECONDS * 1_000;
     await Promise.all(Array.from({ length: CALLERS }, async () => {
         while (performance.now() < until) {
-            const result = await askChatAt({
+            const result = await sendChatRequest({
                 url: target.url,
                 key,
                 model: "wetterwort",
@@ -44,7 +44,7 @@
                 maxTokens: 16,
                 stream: true,
             });
-            if (result.whole) {
+            if (result.isComplete) {
                 first.push(result.firstMs);
             }
         }
--- a/src/adapters/disk/journalFile.ts
+++ b/src/adapters/disk/journalFile.ts
@@ -34,7 +34,7 @@
      */
     readonly retryWriteMs?: number;
     /** Called for each failed write that will be retried. */
-    readonly onRefused?: (error: unknown) => void;
+    readonly onWriteError?: (error: unknown) => void;
 }
 
 /** One line for all records of a group, so that the group is written atomically. */
@@ -130,7 +130,7 @@
 
     /** Retries a failed write until it succeeds, if `retryWriteMs` is set and the journal is not closed. */
     private async writeGroupWithRetries(group: readonly PendingWrite[]): Promise<void> {
-        const { retryWriteMs, onRefused } = this.options;
+        const { retryWriteMs, onWriteError } = this.options;
         for (let isRetry = false;; isRetry = true) {
             try {
                 if (isRetry) {
@@ -142,7 +142,7 @@
                 if (retryWriteMs === undefined || this.closed) {
                     throw error;
                 }
-                onRefused?.(error);
+                onWriteError?.(error);
                 await new Promise(resolve => setTimeout(resolve, retryWriteMs));
             }
         }
--- a/src/adapters/http/answerSinks.ts
+++ b/src/adapters/http/answerSinks.ts
@@ -27,7 +27,7 @@
         });
     }
 
-    override isGone(): boolean {
+    override isDisconnected(): boolean {
         return this.disconnected;
     }
 
@@ -75,7 +75,7 @@
         },"choices":[{"index":0,"delta":`;
     }
 
-    override hasBegun(): boolean {
+    override hasStarted(): boolean {
         return this.headSent;
     }
 
@@ -93,7 +93,7 @@
 
     /** Sends the finish reason and the usage last, once the answer is known to be complete. */
     override end(usage: AnswerUsage): void {
-        if (this.isGone()) {
+        if (this.isDisconnected()) {
             return;
         }
         this.sendHead();
@@ -117,7 +117,7 @@
         if (!this.headSent) {
             this.sendRefusal(refusal);
         }
-        else if (!this.isGone()) {
+        else if (!this.isDisconnected()) {
             this.reply.raw.end(`data: ${JSON.stringify(createErrorBody({ ...refusal, ran: "yes" }))}\n\n`);
         }
     }
@@ -145,7 +145,7 @@
         super(reply, requestId);
     }
 
-    override hasBegun(): boolean {
+    override hasStarted(): boolean {
         return false;
     }
 
@@ -165,7 +165,7 @@
             choices: [{ index: 0, message, finish_reason: this.finishReason }],
             usage: createUsageBody(usage),
         };
-        if (!this.isGone()) {
+        if (!this.isDisconnected()) {
             void this.reply.header(REQUEST_ID_HEADER, this.requestId).header("content-type", "application/json").status(
                 200,
             ).send(JSON.stringify(body));
@@ -203,7 +203,7 @@
 export class PlainSink extends HttpSink {
     private headSent = false;
 
-    override hasBegun(): boolean {
+    override hasStarted(): boolean {
         return this.headSent;
     }
 
@@ -224,7 +224,7 @@
         if (!this.headSent) {
             this.fail(createRefusal("upstreamFailed", "upstream sent no response", "unknown"));
         }
-        else if (!this.isGone()) {
+        else if (!this.isDisconnected()) {
             this.reply.raw.end();
         }
     }
--- a/src/adapters/http/callerApi.ts
+++ b/src/adapters/http/callerApi.ts
@@ -1,7 +1,7 @@
 /** A router's HTTP API for callers and the platform's load balancer. docs/API.md lists the paths. */
 import { All, Controller, Get, Inject, Post, Req, Res } from "@nestjs/common";
 import type { FastifyReply, FastifyRequest } from "fastify";
-import type { CallerHeaders } from "../../daemons/router/callerRequests.js";
+import type { CallerHeaders } from "../../daemons/router/jobFactory.js";
 import type { RouterDaemon } from "../../daemons/router/routerDaemon.js";
 import { ChatJsonSink, ChatStreamSink, PlainSink } from "./answerSinks.js";
 import { parseJsonBody, tryGetBearer } from "./httpApp.js";
@@ -29,25 +29,25 @@
 
     @Post("v1/chat/completions")
     async completeChat(@Req() request: FastifyRequest, @Res() reply: FastifyReply): Promise<void> {
-        this.router.checkOpen();
-        const { job, body } = this.router.requests.createChatJob(getCallerHeaders(request), parseJsonBody(request));
+        this.router.checkAcceptsRequests();
+        const { job, body } = this.router.jobFactory.createChatJob(getCallerHeaders(request), parseJsonBody(request));
         const sink = body.stream === true
             ? new ChatStreamSink(reply, job.requestId, body.model, body.stream_options?.include_usage === true)
             : new ChatJsonSink(reply, job.requestId, body.model);
-        await this.router.answer(job, sink);
+        await this.router.handleRequest(job, sink);
     }
 
     @All("services/:service/*")
     async callService(@Req() request: FastifyRequest, @Res() reply: FastifyReply): Promise<void> {
-        this.router.checkOpen();
+        this.router.checkAcceptsRequests();
         const service = (request.params as { service: string; }).service;
-        const job = this.router.requests.createPlainJob(getCallerHeaders(request), service, {
+        const job = this.router.jobFactory.createPlainServiceJob(getCallerHeaders(request), service, {
             method: request.method,
             path: request.url.slice(`/services/${service}`.length),
             headers: getForwardedHeaders(request),
             body: Buffer.isBuffer(request.body) ? request.body : Buffer.alloc(0),
         });
-        await this.router.answer(job, new PlainSink(reply, job.requestId));
+        await this.router.handleRequest(job, new PlainSink(reply, job.requestId));
     }
 }
 
--- a/src/adapters/http/operatorApi.ts
+++ b/src/adapters/http/operatorApi.ts
@@ -34,7 +34,7 @@
     @Get("audit")
     getAudit(@Req() request: FastifyRequest, @Query("limit") limit?: string): unknown {
         this.checkOperator(request);
-        return { items: this.service.getAudit(parseCount("limit", limit, DEFAULT_ITEM_LIMIT)) };
+        return { items: this.service.getAuditRecords(parseCount("limit", limit, DEFAULT_ITEM_LIMIT)) };
     }
 
     @Get("bills")
--- a/src/adapters/http/retryAfter.ts
+++ b/src/adapters/http/retryAfter.ts
@@ -6,7 +6,7 @@
 const SECONDS_PATTERN = /^\d{1,9}(\.\d{1,9})?$/;
 
 /** Whether `status` is a temporary rejection, which may carry Retry-After. */
-export function isTurnedAway(status: number): boolean {
+export function isRetryAfterStatus(status: number): boolean {
     return RETRY_AFTER_STATUSES.has(status);
 }
 
--- a/src/adapters/prometheusMetrics.ts
+++ b/src/adapters/prometheusMetrics.ts
@@ -2,7 +2,7 @@
 import { createServer, type Server } from "node:http";
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import { Metrics } from "../ports/metrics.js";
-import { startListening } from "./listening.js";
+import { startListening } from "./startListening.js";
 
 const NAME_PREFIX = "loomwinch_";
 /** Upper bounds of the histogram buckets. */
--- a/src/adapters/rpc/tcpNetwork.ts
+++ b/src/adapters/rpc/tcpNetwork.ts
@@ -4,7 +4,7 @@
 import { createRefusal, formatRefusal, getRefusal, RefusalError } from "../../domain/resultCodes.js";
 import { type Log } from "../../ports/log.js";
 import { Peer, PeerHandlers, type PeerIdentity, PeerNetwork } from "../../ports/peer.js";
-import { startListening } from "../listening.js";
+import { startListening } from "../startListening.js";
 import { areProofsEqual, computeProof, type HandshakeNonces, helloMethod, proveMethod } from "./handshake.js";
 import { TcpPeer } from "./tcpPeer.js";
 
--- a/src/adapters/upstream/httpUpstream.ts
+++ b/src/adapters/upstream/httpUpstream.ts
@@ -3,7 +3,7 @@
 import { createRefusal, RefusalError } from "../../domain/resultCodes.js";
 import { type ChatRequest, type PlainRequest, UpstreamClient, type UpstreamEvent } from "../../ports/upstream.js";
 import type { AnswerPiece, EngineOrder } from "../../protocol/runMethods.js";
-import { isTurnedAway, tryParseRetryAfterMs } from "../http/retryAfter.js";
+import { isRetryAfterStatus, tryParseRetryAfterMs } from "../http/retryAfter.js";
 import { readServerSentEvents } from "./sseReader.js";
 
 const CONNECT_TIMEOUT_MS = 1_000;
@@ -106,7 +106,7 @@
         }
     }
 
-    override async giveOrder(order: EngineOrder): Promise<void> {
+    override async sendOrder(order: EngineOrder): Promise<void> {
         const response = await this.send({
             method: "POST",
             path: `${this.basePath}/orders`,
@@ -123,11 +123,11 @@
     /** Reports a Retry-After header to the listener and returns its delay in milliseconds, if there is a valid one. */
     private handleRetryAfter({ statusCode, headers }: Dispatcher.ResponseData): number | undefined {
         const headerValue = headers["retry-after"];
-        if (typeof headerValue !== "string" || !isTurnedAway(statusCode)) {
+        if (typeof headerValue !== "string" || !isRetryAfterStatus(statusCode)) {
             return undefined;
         }
         const retryAfterMs = tryParseRetryAfterMs(headerValue, Date.now());
-        this.notifyRetryAfter({ restMs: retryAfterMs, said: headerValue });
+        this.notifyRetryAfter({ retryAfterMs, headerValue });
         return retryAfterMs;
     }
 
--- a/src/bundleWiring.ts
+++ b/src/bundleWiring.ts
@@ -3,7 +3,7 @@
 import { join } from "node:path";
 import { openJournalFile } from "./adapters/disk/journalFile.js";
 import { LogStorage } from "./consensus/logStorage.js";
-import { ReplicaSetKeeper } from "./consensus/replicaSetKeeper.js";
+import { ReplicaSetReconciler } from "./consensus/replicaSetReconciler.js";
 import { ReplicatedLog } from "./consensus/replicatedLog.js";
 import { BundleControllerDaemon } from "./daemons/bundleController/bundleControllerDaemon.js";
 import { DirectRouterDaemon, type DirectRouterOptions } from "./daemons/directRouter/directRouterDaemon.js";
@@ -84,13 +84,13 @@
     const { clock, log, network, handlers, loop, peerAddress } = base;
     const journal = await openJournalFile(join(settings.dataFolder, "log.journal"), {
         retryWriteMs: settings.retryWriteMs,
-        onRefused: error => log.warn("disk_refused_write", { error: String(error) }),
+        onWriteError: error => log.warn("disk_refused_write", { error: String(error) }),
     });
     const initialReplicas = settings.isFirstStart ? settings.seeds : [];
     const replica = createReplica(new LogStorage(journal), initialReplicas, settings, base);
-    const keeper = createReplicaSetKeeper(replica, settings, base);
+    const reconciler = createReplicaSetReconciler(replica, settings, base);
     const { seeds, decoder } = settings;
-    const daemon = new BundleControllerDaemon(replica, keeper, decoder, network, clock, log, loop, {
+    const daemon = new BundleControllerDaemon(replica, reconciler, decoder, network, clock, log, loop, {
         address: peerAddress,
         seeds,
     });
@@ -123,7 +123,7 @@
         name: peerAddress,
         address: peerAddress,
         others: initialReplicas.filter(address => address !== peerAddress).map(address => ({ name: address, address })),
-        isFounder: initialReplicas.includes(peerAddress),
+        isInitialReplica: initialReplicas.includes(peerAddress),
         isFirstStart: initialReplicas.includes(peerAddress),
         electionTimeoutMs: settings.electionTimeoutMs,
         heartbeatMs: settings.heartbeatMs,
@@ -133,16 +133,16 @@
     });
 }
 
-function createReplicaSetKeeper(
+function createReplicaSetReconciler(
     replica: ReplicatedLog,
     settings: BundleControllerSettings,
     { clock, log, network, peerAddress }: RoleBase,
-): ReplicaSetKeeper {
-    return new ReplicaSetKeeper(replica, network, clock, log, {
+): ReplicaSetReconciler {
+    return new ReplicaSetReconciler(replica, network, clock, log, {
         self: { name: peerAddress, address: peerAddress },
         periodMs: settings.electionTimeoutMs / 2,
         removeAfterMs: settings.removeReplicaAfterMs,
-        minimumLive: settings.minimumLiveReplicas,
+        minLiveVoters: settings.minimumLiveReplicas,
         callTimeoutMs: settings.electionTimeoutMs,
     });
 }
@@ -168,7 +168,7 @@
     );
     const endReporter = new UpstreamEndReporter(network, clock, log, () => daemon.getControllerAddresses(), {
         callTimeoutMs: settings.router.callTimeoutMs,
-        retryMs: settings.router.redialMs,
+        retryMs: settings.router.reconnectDelayMs,
     });
     const endWatch = new UpstreamEndWatch(settings.upstreams, clock, log, end => endReporter.addEnd(end));
     const daemon: DirectRouterDaemon = new DirectRouterDaemon(
--- a/src/cli/replayCommand.ts
+++ b/src/cli/replayCommand.ts
@@ -1,14 +1,14 @@
 /** `loomwinch replay TRACE --expect OUTCOME --fleet FLEET`: replays a trace and checks its outcome. */
 import { createRefusal, RefusalError } from "../domain/resultCodes.js";
 import { fleetSchema, type ReplayReport, replayTrace } from "../replay/replayTrace.js";
-import { type ExpectedOutcome, outcomeSchema, readTrace } from "../replay/trace.js";
+import { type ExpectedOutcome, expectedOutcomeSchema, readTrace } from "../replay/trace.js";
 import { checkJsonc, readJsoncFile } from "../settings/jsoncFile.js";
 import { printKeyValues } from "./operatorCommands.js";
 
 /** Replays a trace and prints the report. Throws outcomeNotMet if a count exceeds its limit. */
 export async function runReplay(tracePath: string, expectPath: string, fleetPath: string): Promise<void> {
     const trace = await readTrace(tracePath);
-    const outcome = (await readJsoncFile(expectPath)).andThen(file => checkJsonc(file, outcomeSchema));
+    const outcome = (await readJsoncFile(expectPath)).andThen(file => checkJsonc(file, expectedOutcomeSchema));
     const fleet = (await readJsoncFile(fleetPath)).andThen(file => checkJsonc(file, fleetSchema));
     for (const read of [trace, outcome, fleet]) {
         if (read.isErr()) {
@@ -16,12 +16,12 @@
         }
     }
     const report = await replayTrace(trace._unsafeUnwrap(), fleet._unsafeUnwrap());
-    printReport(report);
-    checkOutcome(report, outcome._unsafeUnwrap());
+    printReplayReport(report);
+    checkReplayOutcome(report, outcome._unsafeUnwrap());
 }
 
 /** Prints one line of key=value pairs for the counts, the refusals and each rank. */
-export function printReport(report: ReplayReport): void {
+export function printReplayReport(report: ReplayReport): void {
     const { waits, refusedByCode, refusalMs, ...counts } = report;
     printKeyValues(counts);
     printKeyValues({
@@ -35,7 +35,7 @@
 }
 
 /** Throws outcomeNotMet if any count exceeds its limit, listing all such counts. */
-export function checkOutcome(report: ReplayReport, outcome: ExpectedOutcome): void {
+export function checkReplayOutcome(report: ReplayReport, outcome: ExpectedOutcome): void {
     const exceeded = (Object.entries(outcome) as [keyof ExpectedOutcome, number][]).filter(([name, limit]) =>
         report[name] > limit
     );
--- a/src/consensus/signal.ts
+++ b/src/consensus/conditionVariable.ts
@@ -1,5 +1,5 @@
 /** A condition variable: lets tasks wait until another task notifies them. */
-export class Signal {
+export class ConditionVariable {
     private waiters: (() => void)[] = [];
 
     notifyAll(): void {
--- a/src/consensus/entryAges.ts
+++ b/src/consensus/entryAgeCollector.ts
@@ -17,7 +17,7 @@
 /** A wall clock step that occurs less than this, plus one sync, before a power loss goes undetected. */
 const CLOCK_CHECK_INTERVAL_MS = 100;
 
-export class EntryAges {
+export class EntryAgeCollector {
     constructor(
         private readonly storage: LogStorage,
         private readonly replicas: ReplicaSet,
@@ -55,11 +55,11 @@
     }
 
     /** Collects the age of the entry at `index` from all replicas that answer in time. */
-    async gather(index: number): Promise<EntryAge> {
+    async collectAge(index: number): Promise<EntryAge> {
         const term = this.storage.tryGetTerm(index);
         const isMeasuredLocally = this.isLeader() && term === this.storage.term
             && this.storage.tryMeasureAgeMs(index) !== undefined;
-        const peers = term === undefined ? [] : this.replicas.getOthers();
+        const peers = term === undefined ? [] : this.replicas.getPeers();
         const replies = await Promise.all(peers.map(peer => this.tryFetchAge(peer.address, index, term!)));
         const answers = replies.filter(answer => answer !== undefined);
         // Read after the replies, so that the local age includes the time spent waiting for them.
--- a/src/consensus/logApplier.ts
+++ b/src/consensus/logApplier.ts
@@ -3,9 +3,9 @@
 import { type ApplyResult, DeclaredState, type StateSnapshot } from "../domain/declaredState.js";
 import { assertInvariant } from "../domain/resultCodes.js";
 import type { Log } from "../ports/log.js";
+import { ConditionVariable } from "./conditionVariable.js";
 import type { LogStorage } from "./logStorage.js";
 import type { PendingProposals } from "./pendingProposals.js";
-import { Signal } from "./signal.js";
 
 /** Characters of entries after which a snapshot is taken regardless of their count: bounds memory and disk use. */
 const SNAPSHOT_LENGTH_THRESHOLD = 16 * 1024 * 1024;
@@ -15,7 +15,7 @@
 export class LogApplier {
     readonly state = new DeclaredState();
     /** Notified when entries or a snapshot have been applied. */
-    readonly appliedSignal = new Signal();
+    readonly appliedSignal = new ConditionVariable();
     private appliedIndex = 0;
     private readonly appliedHandlers: AppliedHandler[] = [];
     private readonly snapshotHandlers: (() => void)[] = [];
--- a/src/consensus/peerProgress.ts
+++ b/src/consensus/peerProgress.ts
@@ -41,7 +41,7 @@
             voter === this.self ? now : this.peers.get(voter)?.lastContactAt ?? -Infinity
         );
         times.sort((a, b) => b - a);
-        return times[this.replicas.getMajority() - 1] ?? -Infinity;
+        return times[this.replicas.getQuorumSize() - 1] ?? -Infinity;
     }
 
     /** Returns the highest index that a majority has synced, given the leader's own. */
@@ -50,6 +50,6 @@
             voter === this.self ? ownSyncedIndex : this.peers.get(voter)?.matchIndex ?? 0
         );
         matched.sort((a, b) => b - a);
-        return matched[this.replicas.getMajority() - 1] ?? 0;
+        return matched[this.replicas.getQuorumSize() - 1] ?? 0;
     }
 }
--- a/src/consensus/replicaSet.ts
+++ b/src/consensus/replicaSet.ts
@@ -15,14 +15,14 @@
     /** Address at which the others reach this replica. Set if the replica set may change at run time. */
     readonly address?: string | undefined;
     /** False for a replica outside the initial replica set, which has to be added to it. Default: true. */
-    readonly isFounder?: boolean | undefined;
+    readonly isInitialReplica?: boolean | undefined;
 }
 
 export class ReplicaSet {
     constructor(private readonly storage: LogStorage, private readonly options: ReplicaSetOptions) {}
 
     /** Returns all replicas except this one, including non-voting ones. */
-    getOthers(): readonly ReplicaAddress[] {
+    getPeers(): readonly ReplicaAddress[] {
         return this.isDefinedByLog()
             ? this.storage.replicas.filter(replica => replica.name !== this.options.name)
             : this.options.others;
@@ -33,7 +33,7 @@
         if (this.isDefinedByLog()) {
             return this.storage.replicas.filter(replica => replica.voting).map(replica => replica.name);
         }
-        const self = this.options.isFounder === false ? [] : [this.options.name];
+        const self = this.options.isInitialReplica === false ? [] : [this.options.name];
         return [...self, ...this.options.others.map(other => other.name)];
     }
 
@@ -42,11 +42,11 @@
     }
 
     has(name: string): boolean {
-        return name === this.options.name || this.getOthers().some(other => other.name === name);
+        return name === this.options.name || this.getPeers().some(other => other.name === name);
     }
 
     /** Returns the number of voters that form a majority. */
-    getMajority(): number {
+    getQuorumSize(): number {
         return Math.floor(this.getVoters().length / 2) + 1;
     }
 
--- a/src/consensus/replicaSetKeeper.ts
+++ b/src/consensus/replicaSetReconciler.ts
@@ -12,18 +12,18 @@
 import type { ReplicatedLog } from "./replicatedLog.js";
 
 /** Times in milliseconds. */
-export interface ReplicaSetKeeperOptions {
+export interface ReplicaSetReconcilerOptions {
     readonly self: ReplicaAddress;
     /** Interval at which the leader reconciles the replica set, and at which a controller retries to join. */
     readonly periodMs: number;
     /** Time without an answer after which a replica may be removed. */
     readonly removeAfterMs: number;
     /** Live voters required to remove a replica, so that the rest still tolerates the configured number of failures. */
-    readonly minimumLive: number;
+    readonly minLiveVoters: number;
     readonly callTimeoutMs: number;
 }
 
-export class ReplicaSetKeeper {
+export class ReplicaSetReconciler {
     /** Controllers to be added, by name. */
     private readonly joinRequests = new Map<string, ReplicaAddress>();
 
@@ -32,7 +32,7 @@
         private readonly network: PeerNetwork,
         private readonly clock: Clock,
         private readonly log: Log,
-        private readonly options: ReplicaSetKeeperOptions,
+        private readonly options: ReplicaSetReconcilerOptions,
     ) {}
 
     addHandlers(handlers: PeerHandlers): void {
@@ -40,7 +40,7 @@
     }
 
     /** Reconciles the replica set periodically while this replica is the leader, until it stops. */
-    async runKeeping(): Promise<void> {
+    async runReconciliation(): Promise<void> {
         while (!this.replica.isStopped()) {
             await this.clock.wait(this.options.periodMs);
             if (this.replica.isLeader() && this.replica.isReplicaSetCommitted()) {
@@ -50,7 +50,7 @@
     }
 
     /** Requests to be added from known controllers whenever this one is not a voter, until the replica stops. */
-    async runJoining(getKnownAddresses: () => readonly string[]): Promise<void> {
+    async runJoinRequests(getKnownAddresses: () => readonly string[]): Promise<void> {
         while (!this.replica.isStopped()) {
             if (!this.replica.replicas.getVoters().includes(this.options.self.name)) {
                 await this.requestJoin(getKnownAddresses());
@@ -104,7 +104,7 @@
 
     private listReplicas(): Replica[] {
         const { replicas } = this.replica;
-        return [this.options.self, ...replicas.getOthers()].map(({ name, address }) => ({
+        return [this.options.self, ...replicas.getPeers()].map(({ name, address }) => ({
             name,
             address,
             voting: replicas.isVoter(name),
@@ -144,7 +144,7 @@
         const liveVoters = replicas.filter(replica =>
             replica.voting && this.getMsSinceContact(replica.name) < this.options.removeAfterMs / 2
         );
-        return expired === undefined || liveVoters.length < this.options.minimumLive
+        return expired === undefined || liveVoters.length < this.options.minLiveVoters
             ? undefined
             : replicas.filter(replica => replica !== expired);
     }
--- a/src/consensus/replicatedLog.ts
+++ b/src/consensus/replicatedLog.ts
@@ -10,7 +10,8 @@
 import type { Clock } from "../ports/clock.js";
 import type { Log } from "../ports/log.js";
 import type { PeerHandlers, PeerNetwork } from "../ports/peer.js";
-import { EntryAges } from "./entryAges.js";
+import { ConditionVariable } from "./conditionVariable.js";
+import { EntryAgeCollector } from "./entryAgeCollector.js";
 import { runJoinLoop } from "./joining.js";
 import { type AppliedHandler, LogApplier } from "./logApplier.js";
 import type { LogStorage } from "./logStorage.js";
@@ -31,11 +32,10 @@
     type VoteParams,
 } from "./messages.js";
 import { type PeerProgress, PeerProgressTracker } from "./peerProgress.js";
-import { PeerReplicator } from "./peerReplication.js";
+import { PeerReplicator } from "./peerReplicator.js";
 import { PendingProposals } from "./pendingProposals.js";
 import { type ReplicaAddress, ReplicaSet } from "./replicaSet.js";
 import type { ReplicatedLogOptions } from "./replicatedLogOptions.js";
-import { Signal } from "./signal.js";
 import { SnapshotReceiver } from "./snapshotReceiver.js";
 import { collectVotes, computeElectionTimeoutMs, createVoteParams, hasVotedFor, isLogUpToDate } from "./voting.js";
 
@@ -46,10 +46,10 @@
     private commitIndex = 0;
     private lastLeaderContactAt = -Infinity;
     readonly replicas: ReplicaSet;
-    readonly entryAges: EntryAges;
+    readonly entryAges: EntryAgeCollector;
     private readonly peerProgress: PeerProgressTracker;
     private readonly proposals: PendingProposals;
-    private readonly replicationSignal = new Signal();
+    private readonly replicationSignal = new ConditionVariable();
     private readonly applier: LogApplier;
     private readonly snapshotReceiver = new SnapshotReceiver();
     private stopped = false;
@@ -63,7 +63,7 @@
     ) {
         this.proposals = new PendingProposals(options.proposeTimeoutMs, options.electionTimeoutMs);
         this.replicas = new ReplicaSet(storage, options);
-        this.entryAges = new EntryAges(storage, this.replicas, network, log, () => this.isLeader());
+        this.entryAges = new EntryAgeCollector(storage, this.replicas, network, log, () => this.isLeader());
         this.peerProgress = new PeerProgressTracker(options.name, this.replicas);
         this.applier = new LogApplier(storage, this.proposals, log, options.snapshotEvery);
         this.state = this.applier.state;
@@ -118,7 +118,7 @@
         return this.storage.term;
     }
 
-    getLeader(): string | undefined {
+    getLeaderName(): string | undefined {
         return this.leader;
     }
 
@@ -141,7 +141,7 @@
 
     /** Returns the leader's address if a leader is known and it is another replica. */
     tryGetLeaderAddress(): ReplicaAddress | undefined {
-        return this.replicas.getOthers().find(other => other.name === this.leader);
+        return this.replicas.getPeers().find(other => other.name === this.leader);
     }
 
     tryGetPeerProgress(name: string): PeerProgress | undefined {
@@ -163,8 +163,8 @@
     }
 
     /** Returns the number of voters that form a majority. */
-    getMajority(): number {
-        return this.replicas.getMajority();
+    getQuorumSize(): number {
+        return this.replicas.getQuorumSize();
     }
 
     /**
@@ -202,7 +202,7 @@
     }
 
     /** Waits until this replica has applied all entries committed before the call. Returns the index. */
-    async readThroughMajority(): Promise<number> {
+    async confirmReadIndex(): Promise<number> {
         const leader = this.tryGetLeaderAddress();
         const confirmed = this.role === "leader" || leader === undefined
             ? await this.confirmLeadership()
@@ -395,7 +395,7 @@
         this.role = "leader";
         this.leader = this.options.name;
         this.log.info("leader_elected", { term: this.storage.term, last_index: this.storage.getLastIndex() });
-        this.replicas.getOthers().forEach(peer => this.startReplication(peer));
+        this.replicas.getPeers().forEach(peer => this.startReplication(peer));
         // Entries of earlier terms are committed only through an entry of the new term.
         const initialReplicas = this.replicas.tryGetInitialReplicas();
         this.appendProposal(
@@ -415,7 +415,7 @@
         if (command.type !== "setReplicas") {
             return;
         }
-        const peers = this.replicas.getOthers();
+        const peers = this.replicas.getPeers();
         peers.filter(peer => this.peerProgress.tryGet(peer.name) === undefined).forEach(peer =>
             this.startReplication(peer)
         );
--- a/src/consensus/voting.ts
+++ b/src/consensus/voting.ts
@@ -44,8 +44,8 @@
 ): Promise<boolean> {
     return new Promise(resolve => {
         let granted = 1;
-        const peers = replicas.getOthers().filter(other => replicas.isVoter(other.name));
-        const majority = replicas.getMajority();
+        const peers = replicas.getPeers().filter(other => replicas.isVoter(other.name));
+        const majority = replicas.getQuorumSize();
         let outstanding = peers.length;
         const resolveIfDecided = (): void => {
             if (granted >= majority) {
--- a/src/daemons/bundleController/bundleControllerDaemon.ts
+++ b/src/daemons/bundleController/bundleControllerDaemon.ts
@@ -2,7 +2,7 @@
  * A controller for deployments that are configured by bundles. Stores the bundle and the prepaid token accounts in the
  * replicated log, receives the reports of upstreams and pushes changes to the routers that are subscribed to it.
  */
-import type { ReplicaSetKeeper } from "../../consensus/replicaSetKeeper.js";
+import type { ReplicaSetReconciler } from "../../consensus/replicaSetReconciler.js";
 import type { ReplicatedLog } from "../../consensus/replicatedLog.js";
 import type { Bundle } from "../../domain/bundle.js";
 import type { BundleResult, StoredBundle } from "../../domain/bundleStore.js";
@@ -22,12 +22,12 @@
     reportPrepaidMethod,
     upstreamNoticeMethod,
 } from "../../protocol/fleetMethods.js";
-import type { LoopWatch } from "../loopWatch.js";
+import type { EventLoopMonitor } from "../eventLoopMonitor.js";
 import { BundlePublisher } from "./bundlePublisher.js";
 import { EvacuationService } from "./evacuationService.js";
-import { SubscribedRouters } from "./followers.js";
 import { PrepaidService } from "./prepaidService.js";
 import { RegistrationService } from "./registrationService.js";
+import { SubscribedRouters } from "./subscribedRouters.js";
 import { UpstreamEndService } from "./upstreamEndService.js";
 
 export interface BundleControllerOptions {
@@ -50,12 +50,12 @@
 
     constructor(
         private readonly replica: ReplicatedLog,
-        private readonly keeper: ReplicaSetKeeper,
+        private readonly reconciler: ReplicaSetReconciler,
         private readonly decoder: BundleDecoder,
         network: PeerNetwork,
         private readonly clock: Clock,
         private readonly log: Log,
-        private readonly loop: LoopWatch,
+        private readonly loop: EventLoopMonitor,
         private readonly options: BundleControllerOptions,
     ) {
         this.seeds = options.seeds;
@@ -67,7 +67,7 @@
             network,
             clock,
             log,
-            () => replica.replicas.getOthers().map(other => other.address),
+            () => replica.replicas.getPeers().map(other => other.address),
             service => this.isServiceDeclared(service),
         );
         replica.onApplied((entry, result) => {
@@ -81,7 +81,7 @@
 
     addHandlers(handlers: PeerHandlers): void {
         this.replica.addHandlers(handlers);
-        this.keeper.addHandlers(handlers);
+        this.reconciler.addHandlers(handlers);
         handlers.add(followMethod, (params, peer) => this.handleFollow(params, peer));
         handlers.add(getBundleMethod, async ({ held }) => ({ bundle: await this.publisher.tryGetEncoded(held) }));
         handlers.add(upstreamNoticeMethod, notice => this.registrations.recordForwarded(notice.upstreams));
@@ -91,8 +91,8 @@
 
     start(): void {
         this.replica.start();
-        void this.keeper.runKeeping();
-        void this.keeper.runJoining(() => this.seeds);
+        void this.reconciler.runReconciliation();
+        void this.reconciler.runJoinRequests(() => this.seeds);
         void this.registrations.runHeartbeatBatches();
         void this.prepaid.runLogging(this.clock);
         void this.upstreamEnds.runEviction();
@@ -114,7 +114,7 @@
      */
     async putBundle(text: string): Promise<BundleResult> {
         const bundle = await this.decoder.decode(text);
-        this.loop.noteWork("bundles");
+        this.loop.countWork("bundles");
         const proposal = await this.replica.propose({
             type: "putBundle",
             revision: bundle.revision,
@@ -133,7 +133,7 @@
 
     /** Returns the current bundle, confirmed by a majority. Throws noMajority, and notReady before the first bundle. */
     async readBundle(): Promise<StoredBundle> {
-        await this.replica.readThroughMajority();
+        await this.replica.confirmReadIndex();
         const bundle = this.replica.state.bundle.tryGet();
         if (bundle === undefined) {
             throw new RefusalError(createRefusal("notReady", "no bundle yet"));
@@ -158,7 +158,7 @@
             bundleRevision: this.replica.state.bundle.tryGet()?.revision,
             upstreams: wantsUpstreams && !wantsChanges ? this.registrations.list() : [],
             news: wantsChanges ? this.registrations.createNews(since, unheardMs) : undefined,
-            controllers: [this.options.address, ...this.replica.replicas.getOthers().map(other => other.address)],
+            controllers: [this.options.address, ...this.replica.replicas.getPeers().map(other => other.address)],
             routers: this.subscribers.isUnchangedSince(routersSince) ? undefined : this.subscribers.list(),
             routersCursor: this.subscribers.getCursor(),
             hasMajority: this.replica.isConnectedToMajority(),
@@ -174,7 +174,7 @@
             return true;
         }
         if (this.serviceNames?.revision !== bundle.revision) {
-            this.loop.noteWork("bundles");
+            this.loop.countWork("bundles");
             const services = this.decoder.decode(bundle.text).then(({ services }) =>
                 new Set(services.map(s => s.name))
             );
--- a/src/daemons/bundleController/evacuationService.ts
+++ b/src/daemons/bundleController/evacuationService.ts
@@ -5,7 +5,7 @@
 import { createRefusal, RefusalError } from "../../domain/resultCodes.js";
 import type { Log } from "../../ports/log.js";
 import { evacuationNoticeMethod } from "../../protocol/fleetMethods.js";
-import type { SubscribedRouters } from "./followers.js";
+import type { SubscribedRouters } from "./subscribedRouters.js";
 
 export class EvacuationService {
     /** Log index of the last change that routers were notified of. */
@@ -37,7 +37,7 @@
             );
         }
         // A local read may be stale: the previous request for this zone may have been sent to another controller.
-        await this.replica.readThroughMajority();
+        await this.replica.confirmReadIndex();
         const { isEvacuated: wasEvacuated, changes } = this.replica.state.evacuations.get(zone);
         if (wasEvacuated !== isEvacuated) {
             const { result } = await this.replica.propose({
--- a/src/daemons/bundleController/prepaidService.ts
+++ b/src/daemons/bundleController/prepaidService.ts
@@ -67,8 +67,10 @@
         }
         const { entryAges } = this.replica;
         const [newest, answered] = await Promise.all([
-            entryAges.gather(predecessorReports.newest.index),
-            predecessorReports.answered === undefined ? undefined : entryAges.gather(predecessorReports.answered.index),
+            entryAges.collectAge(predecessorReports.newest.index),
+            predecessorReports.answered === undefined
+                ? undefined
+                : entryAges.collectAge(predecessorReports.answered.index),
         ]);
         const predecessor = this.processLifetimes.computePredecessorLifetime(predecessorReports, report, {
             newest,
--- a/src/daemons/bundleController/registrationService.ts
+++ b/src/daemons/bundleController/registrationService.ts
@@ -11,7 +11,7 @@
 import type { Log } from "../../ports/log.js";
 import type { PeerNetwork } from "../../ports/peer.js";
 import { upstreamNoticeMethod } from "../../protocol/fleetMethods.js";
-import type { SubscribedRouters } from "./followers.js";
+import type { SubscribedRouters } from "./subscribedRouters.js";
 
 const HEARTBEAT_BATCH_PERIOD_MS = 400;
 
@@ -68,7 +68,7 @@
     }
 
     /** Records that an upstream has ended. `bornAt`: start of the incarnation that has ended; undefined if unknown. */
-    remove(id: string, bornAt: number | undefined): void {
+    recordGone(id: string, bornAt: number | undefined): void {
         const gone = this.registry.recordGone(id, this.clock.getMonotonicMs(), bornAt);
         if (gone !== undefined) {
             this.logState(gone, "upstream");
--- a/src/daemons/bundleController/upstreamEndService.ts
+++ b/src/daemons/bundleController/upstreamEndService.ts
@@ -14,7 +14,7 @@
     type SuspectList,
     suspectNoticeMethod,
 } from "../../protocol/fleetMethods.js";
-import type { SubscribedRouters } from "./followers.js";
+import type { SubscribedRouters } from "./subscribedRouters.js";
 
 /** Timeout for forwarding a report to the leader. */
 const FORWARD_TIMEOUT_MS = 900;
--- a/src/daemons/controller/billReconciler.ts
+++ b/src/daemons/controller/billReconciler.ts
@@ -5,7 +5,7 @@
  */
 import type { BillRecord } from "../../domain/billStore.js";
 import { findBillMethod } from "../../protocol/ledgerMethods.js";
-import { type ControllerContext, getOtherControllers } from "./fleetView.js";
+import { type ControllerContext, getOtherControllers } from "./controllerContext.js";
 
 const FIND_BILL_TIMEOUT_MS = 1_000;
 const MAX_BILLS_PER_ROUND = 200;
--- a/src/daemons/controller/budgetRefiller.ts
+++ b/src/daemons/controller/budgetRefiller.ts
@@ -7,7 +7,7 @@
 import { formatRefusal, getRefusal } from "../../domain/resultCodes.js";
 import type { Peer } from "../../ports/peer.js";
 import { recallGrantMethod, recallShareMethod } from "../../protocol/ledgerMethods.js";
-import { type ControllerContext, getOtherControllers } from "./fleetView.js";
+import { type ControllerContext, getOtherControllers } from "./controllerContext.js";
 import type { ShareReporter } from "./shareReporter.js";
 
 const RECALL_TIMEOUT_MS = 400;
--- a/src/daemons/controller/configPublisher.ts
+++ b/src/daemons/controller/configPublisher.ts
@@ -11,7 +11,7 @@
     subscribeMethod,
     updateMethod,
 } from "../../protocol/configMethods.js";
-import type { ControllerContext } from "./fleetView.js";
+import type { ControllerContext } from "./controllerContext.js";
 
 interface Subscriber {
     readonly peer: Peer;
@@ -89,7 +89,7 @@
 
     /** Confirms the read index first, so that a restarted daemon does not receive an outdated configuration. */
     private async handleSubscribe(revision: number, address: string, peer: Peer): Promise<ConfigUpdate> {
-        await this.context.log.readThroughMajority().catch(error => {
+        await this.context.log.confirmReadIndex().catch(error => {
             this.context.events.warn("subscribe_unconfirmed", {
                 peer: peer.identity.name,
                 reason: formatRefusal(getRefusal(error)),
--- a/src/daemons/controller/grantCloser.ts
+++ b/src/daemons/controller/grantCloser.ts
@@ -5,7 +5,7 @@
  */
 import { Ledger, type LedgerGrant } from "../../domain/ledger.js";
 import { type CloseGrantAnswer, closeGrantMethod } from "../../protocol/runMethods.js";
-import { type ControllerContext, getSidecars } from "./fleetView.js";
+import { type ControllerContext, getSidecars } from "./controllerContext.js";
 import type { LedgerService } from "./ledgerService.js";
 
 const CLOSE_GRANT_TIMEOUT_MS = 1_000;
--- a/src/daemons/controller/intentService.ts
+++ b/src/daemons/controller/intentService.ts
@@ -4,7 +4,7 @@
 import { createRefusal, RefusalError } from "../../domain/resultCodes.js";
 import type { PeerHandlers } from "../../ports/peer.js";
 import { intendMethod, withdrawIntentMethod } from "../../protocol/ledgerMethods.js";
-import type { ControllerContext } from "./fleetView.js";
+import type { ControllerContext } from "./controllerContext.js";
 
 export class IntentService {
     private readonly startedAt: number;
--- a/src/daemons/controller/ledgerService.ts
+++ b/src/daemons/controller/ledgerService.ts
@@ -13,7 +13,7 @@
     usageMethod,
 } from "../../protocol/ledgerMethods.js";
 import { BudgetRefiller } from "./budgetRefiller.js";
-import type { ControllerContext } from "./fleetView.js";
+import type { ControllerContext } from "./controllerContext.js";
 import { ShareReporter } from "./shareReporter.js";
 
 /** Half-life of the demand estimate that determines a ledger's share. */
--- a/src/daemons/controller/operatorService.ts
+++ b/src/daemons/controller/operatorService.ts
@@ -15,7 +15,7 @@
 import type { AuditRecord } from "../../ports/audit.js";
 import type { TopUpAnswer } from "../../protocol/ledgerMethods.js";
 import type { AuditTrail } from "./auditTrail.js";
-import type { ControllerContext } from "./fleetView.js";
+import type { ControllerContext } from "./controllerContext.js";
 import { type FleetStatus, StatusService } from "./statusService.js";
 import type { TopUpService } from "./topUpService.js";
 
@@ -142,7 +142,7 @@
         return { released };
     }
 
-    getAudit(limit: number): readonly AuditRecord[] {
+    getAuditRecords(limit: number): readonly AuditRecord[] {
         return this.audit.getRecords(limit);
     }
 
@@ -189,7 +189,7 @@
 
     private async prepareRead(stale: boolean): Promise<void> {
         if (!stale) {
-            await this.context.log.readThroughMajority();
+            await this.context.log.confirmReadIndex();
         }
     }
 
--- a/src/daemons/controller/orderDispatcher.ts
+++ b/src/daemons/controller/orderDispatcher.ts
@@ -1,7 +1,7 @@
 /** On the leader, orders sidecars to load the declared model of each upstream. Orders carry the leader's term. */
 import { formatRefusal, getRefusal } from "../../domain/resultCodes.js";
 import { orderMethod } from "../../protocol/runMethods.js";
-import type { ControllerContext } from "./fleetView.js";
+import type { ControllerContext } from "./controllerContext.js";
 
 const ORDER_TIMEOUT_MS = 2_000;
 
@@ -18,7 +18,7 @@
         if (!log.isLeader()) {
             return;
         }
-        await log.readThroughMajority();
+        await log.confirmReadIndex();
         if (log.getTerm() !== this.term) {
             this.term = log.getTerm();
             this.completedRevisions.clear();
--- a/src/daemons/controller/shareReporter.ts
+++ b/src/daemons/controller/shareReporter.ts
@@ -1,7 +1,7 @@
 /** Reports this ledger's returned, spent and unaccounted tokens and its demand to the replicated log. */
 import type { ShareReport } from "../../domain/commands.js";
 import type { DecayingRate } from "../../domain/decayingRate.js";
-import type { ControllerContext } from "./fleetView.js";
+import type { ControllerContext } from "./controllerContext.js";
 
 /** Relative change of a budget's demand above which it is reported again. */
 const MIN_DEMAND_CHANGE_FRACTION = 0.25;
--- a/src/daemons/controller/statusService.ts
+++ b/src/daemons/controller/statusService.ts
@@ -9,7 +9,7 @@
     statusMethod,
 } from "../../protocol/configMethods.js";
 import type { ConfigPublisher } from "./configPublisher.js";
-import { type ControllerContext, getOtherControllers } from "./fleetView.js";
+import { type ControllerContext, getOtherControllers } from "./controllerContext.js";
 
 const STATUS_TIMEOUT_MS = 800;
 
@@ -69,7 +69,7 @@
             askedAt: name,
             revision: log.state.objects.getRevision(),
             connected: log.isConnectedToMajority(),
-            leader: log.getLeader(),
+            leader: log.getLeaderName(),
             term: log.getTerm(),
             controllers,
             silentControllers,
@@ -91,7 +91,7 @@
             name,
             zone,
             term: log.getTerm(),
-            leader: log.getLeader(),
+            leader: log.getLeaderName(),
             revision: log.state.objects.getRevision(),
             appliedIndex: log.getAppliedIndex(),
             connected: log.isConnectedToMajority(),
@@ -147,7 +147,7 @@
                 sealed,
                 shares,
                 conserved: isBudgetConserved(account),
-                replicas: this.context.log.getMajority(),
+                replicas: this.context.log.getQuorumSize(),
             };
         });
         return budgets;
--- a/src/daemons/controller/topUpService.ts
+++ b/src/daemons/controller/topUpService.ts
@@ -9,7 +9,7 @@
 import type { PeerHandlers } from "../../ports/peer.js";
 import { type TopUpAnswer, topUpMethod } from "../../protocol/ledgerMethods.js";
 import { holdWitnessMethod, listWitnessMethod, type WitnessedTopUp } from "../../protocol/runMethods.js";
-import { type ControllerContext, getSidecars } from "./fleetView.js";
+import { type ControllerContext, getSidecars } from "./controllerContext.js";
 
 const WITNESS_TIMEOUT_MS = 500;
 const FORWARD_TIMEOUT_MS = 6_000;
@@ -158,7 +158,7 @@
     private createAnswer(operationId: string, witnesses = 0): TopUpAnswer {
         const { log, ledger } = this.context;
         if (log.state.budgets.tryGetTopUp(operationId) !== undefined) {
-            return { spendable: true, replicas: log.getMajority(), witnesses };
+            return { spendable: true, replicas: log.getQuorumSize(), witnesses };
         }
         if (ledger.tryGetTopUp(operationId)?.spendable === true) {
             return { spendable: true, replicas: 1, witnesses };
--- a/src/daemons/directRouter/attempt.ts
+++ b/src/daemons/directRouter/attempt.ts
@@ -148,15 +148,15 @@
         this.lastActivityAt = performance.now();
         this.status = head.status;
         this.isFramed = head.isFramed;
-        if (!head.isOwn) {
+        if (!head.hasMatchingId) {
             return this.rejectResponse("response belongs to a different request");
         }
         // An unsigned response that does not reject the request may come from an intermediary.
-        if (!head.isFromAnother && (head.isSigned || head.isNotRun)) {
+        if (!head.isMisdirected && (head.isSigned || head.isNotRun)) {
             this.options.onSignals(head.signals);
         }
         if (head.isNotRun) {
-            const cause = head.isFromAnother ? "replaced" : "full";
+            const cause = head.isMisdirected ? "replaced" : "full";
             return this.reject({ type: "notRun", cause, reason: `status ${head.status}` });
         }
         if (!head.isSigned) {
--- a/src/daemons/directRouter/bundleFetcher.ts
+++ b/src/daemons/directRouter/bundleFetcher.ts
@@ -40,7 +40,7 @@
      * Records that a controller has a bundle, and fetches it. Resolves when no announced bundle is left to fetch, or
      * immediately if another call is already fetching.
      */
-    async fetch(controller: string, revision: number): Promise<void> {
+    async fetchAnnouncement(controller: string, revision: number): Promise<void> {
         if (revision > this.getCurrentRevision()) {
             this.announced.set(controller, Math.max(revision, this.announced.get(controller) ?? revision));
         }
--- a/src/daemons/directRouter/controllerFeed.ts
+++ b/src/daemons/directRouter/controllerFeed.ts
@@ -16,12 +16,12 @@
     /** The address at which other routers reach this one. */
     readonly address: string;
     /** Interval between polls of one controller. */
-    readonly followPeriodMs: number;
+    readonly pollIntervalMs: number;
     readonly callTimeoutMs: number;
     /** Delay before reconnecting after a connection is lost or cannot be established. */
-    readonly redialMs: number;
+    readonly reconnectDelayMs: number;
     /** Age of an upstream's last report from which controllers list it as unheard. Must exceed the report interval. */
-    readonly upstreamUnheardMs: number;
+    readonly upstreamStaleMs: number;
 }
 
 /** Receives the responses of controllers. */
@@ -58,7 +58,7 @@
         private readonly isUpstreamPollDue: UpstreamPollPredicate,
         private readonly options: ControllerFeedOptions,
     ) {
-        this.followedUpstreams = new UpstreamUpdateTracker(options.upstreamUnheardMs);
+        this.followedUpstreams = new UpstreamUpdateTracker(options.upstreamStaleMs);
     }
 
     /** Connects and polls until stopped, reconnecting after failures. */
@@ -81,7 +81,7 @@
                 }
                 this.hasMajority = false;
             }
-            await this.clock.wait(this.options.redialMs);
+            await this.clock.wait(this.options.reconnectDelayMs);
         }
     }
 
@@ -90,7 +90,7 @@
     }
 
     private async follow(peer: Peer, onAnswer: () => void): Promise<void> {
-        const { address, callTimeoutMs, followPeriodMs } = this.options;
+        const { address, callTimeoutMs, pollIntervalMs } = this.options;
         // Changes may have been missed while disconnected, so the first poll requests them.
         let wantsUpstreams = true;
         while (!this.isStopped) {
@@ -111,9 +111,9 @@
                 this.listener.receiveUpstreamUpdate(answer.news, this.followedUpstreams.applyUpdate(answer.news));
             }
             if (answer.bundleRevision !== undefined) {
-                void this.fetcher.fetch(this.address, answer.bundleRevision);
+                void this.fetcher.fetchAnnouncement(this.address, answer.bundleRevision);
             }
-            await this.clock.wait(followPeriodMs);
+            await this.clock.wait(pollIntervalMs);
             wantsUpstreams = this.isUpstreamPollDue(this);
         }
     }
--- a/src/daemons/directRouter/controllerFeeds.ts
+++ b/src/daemons/directRouter/controllerFeeds.ts
@@ -8,9 +8,9 @@
 /** Times in milliseconds. */
 export interface ControllerFeedsOptions extends ControllerFeedOptions {
     /** Time without a response after which a controller is dropped, unless the list being applied includes it. */
-    readonly forgetControllerMs: number;
+    readonly controllerRetentionMs: number;
     /** Time after which a router reports ready even if no controller with a majority has responded. */
-    readonly unconfirmedReadyMs: number;
+    readonly readinessTimeoutMs: number;
 }
 
 export class ControllerFeeds {
@@ -37,7 +37,7 @@
     }
 
     /** Follows the members reported by a controller that has a majority. */
-    setNamed(addresses: readonly string[]): void {
+    setMembers(addresses: readonly string[]): void {
         this.members = addresses;
         this.follow(addresses);
     }
@@ -50,17 +50,17 @@
     }
 
     /** Fetches a bundle that a controller announced. Ignores controllers that are not followed. */
-    async fetchBundle(address: string, revision: number): Promise<void> {
+    async handleBundleNotice(address: string, revision: number): Promise<void> {
         if (this.feeds.has(address)) {
-            await this.fetcher.fetch(address, revision);
+            await this.fetcher.fetchAnnouncement(address, revision);
         }
     }
 
     /** Whether a controller with a majority has responded, or `unconfirmedReadyMs` has elapsed without one. */
-    isConfirmed(): boolean {
+    isReady(): boolean {
         const feeds = [...this.feeds.values()];
         return feeds.some(feed => feed.hasMajority)
-            || this.clock.getMonotonicMs() - this.startedAt > this.options.unconfirmedReadyMs;
+            || this.clock.getMonotonicMs() - this.startedAt > this.options.readinessTimeoutMs;
     }
 
     stop(): void {
@@ -73,10 +73,10 @@
      */
     private isUpstreamPollDue(feed: ControllerFeed): boolean {
         const now = this.clock.getMonotonicMs();
-        const { followPeriodMs } = this.options;
-        const responsive = [...this.feeds.values()].filter(other => now - other.lastAnsweredAt < 2 * followPeriodMs);
+        const { pollIntervalMs } = this.options;
+        const responsive = [...this.feeds.values()].filter(other => now - other.lastAnsweredAt < 2 * pollIntervalMs);
         const lastPolledAt = Math.max(...responsive.map(other => other.upstreamsPolledAt));
-        return now - lastPolledAt >= followPeriodMs / 2
+        return now - lastPolledAt >= pollIntervalMs / 2
             && responsive.every(other => other.upstreamsPolledAt >= feed.upstreamsPolledAt);
     }
 
@@ -104,7 +104,7 @@
         const now = this.clock.getMonotonicMs();
         for (const [address, feed] of this.feeds) {
             const unansweredMs = now - Math.max(feed.lastAnsweredAt, this.startedAt);
-            if (!retained.includes(address) && unansweredMs > this.options.forgetControllerMs) {
+            if (!retained.includes(address) && unansweredMs > this.options.controllerRetentionMs) {
                 feed.stop();
                 this.feeds.delete(address);
             }
--- a/src/daemons/directRouter/directRouterDaemon.ts
+++ b/src/daemons/directRouter/directRouterDaemon.ts
@@ -32,7 +32,7 @@
     type FollowAnswer,
     upstreamNoticeMethod,
 } from "../../protocol/fleetMethods.js";
-import type { LoopWatch } from "../loopWatch.js";
+import type { EventLoopMonitor } from "../eventLoopMonitor.js";
 import type { BundleListener } from "./bundleFetcher.js";
 import type { FeedListener } from "./controllerFeed.js";
 import { ControllerFeeds, type ControllerFeedsOptions } from "./controllerFeeds.js";
@@ -107,7 +107,7 @@
         override readonly quarantine: RequestQuarantine,
         network: PeerNetwork,
         private readonly clock: Clock,
-        readonly loopMonitor: LoopWatch,
+        readonly loopMonitor: EventLoopMonitor,
     ) {
         super();
         this.recorder = new RequestRecorder(log, metrics);
@@ -148,7 +148,7 @@
     addHandlers(handlers: PeerHandlers): void {
         handlers.add(
             bundleNoticeMethod,
-            notice => this.controllerFeeds.fetchBundle(notice.controller, notice.revision),
+            notice => this.controllerFeeds.handleBundleNotice(notice.controller, notice.revision),
         );
         this.prepaidBorrower.addHandlers(handlers);
         this.placementSharer.addHandlers(handlers);
@@ -165,7 +165,7 @@
         this.cleanupTimer = setInterval(() => this.removeStaleUpstreams(), CLEANUP_PERIOD_MS);
         this.gaugeTimer = setInterval(() => this.signalReceiver.setGauges(), GAUGE_PERIOD_MS);
         // Upstreams have probably closed idle connections; a non-repeatable request sent on one could not be retried.
-        this.loopMonitor.onTimeMissed(() => this.upstreams.forgetExcept(new Set()));
+        this.loopMonitor.onSuspension(() => this.upstreams.drainExcept(new Set()));
     }
 
     setSeeds(seeds: readonly string[]): void {
@@ -189,7 +189,7 @@
 
     /** Whether load balancers should send requests to this router. */
     isReady(): boolean {
-        const ready = !this.isDraining && this.bundleIndex !== undefined && this.controllerFeeds.isConfirmed();
+        const ready = !this.isDraining && this.bundleIndex !== undefined && this.controllerFeeds.isReady();
         if (ready !== this.wasReady) {
             this.wasReady = ready;
             this.log.info("ready_changed", { ready, revision: this.bundleIndex?.bundle.revision });
@@ -229,7 +229,7 @@
         const resolved = this.resolve(request);
         if ("code" in resolved) {
             this.logRefusal(request, "", resolved, { abortCause: undefined, overdueMs: undefined });
-            sink.refuse(resolved);
+            sink.sendRefusal(resolved);
             return;
         }
         this.getRetryBudget(resolved.service.name).recordRequest();
@@ -288,7 +288,7 @@
 
     /** Time without a controller's response after which contact counts as lost. */
     private getContactGapMs(): number {
-        return this.options.followPeriodMs * 2;
+        return this.options.pollIntervalMs * 2;
     }
 
     override getMaxConnections(service: BundleService): number {
@@ -301,7 +301,7 @@
         if (gone === undefined) {
             return;
         }
-        this.upstreams.forget(upstream.address);
+        this.upstreams.drain(upstream.address);
         this.log.info("upstream_replaced", { upstream: upstream.id, address: upstream.address });
         this.upstreamNotifier.notifyControllers({ registration: gone, ageMs: 0 });
     }
@@ -339,19 +339,19 @@
             return;
         }
         if (this.prepaidReporter.isInContact()) {
-            await this.prepaidReporter.waitGrant(Math.min(timeoutMs, this.options.controllerGrantMs));
+            await this.prepaidReporter.waitForAnswer(Math.min(timeoutMs, this.options.controllerGrantMs));
             if (this.purse.hasEnough(account, tokens, rank, this.clock.getMonotonicMs())) {
                 return;
             }
         }
-        const isLent = await Promise.race([this.prepaidBorrower.borrow(account, tokens, rank), timeout]);
+        const isLent = await Promise.race([this.prepaidBorrower.borrowFromOtherGroups(account, tokens, rank), timeout]);
         if (isLent === false) {
-            await Promise.race([this.prepaidReporter.waitGrant(timeoutMs), timeout]);
+            await Promise.race([this.prepaidReporter.waitForAnswer(timeoutMs), timeout]);
         }
     }
 
     override getEventLoopLagMs(): number {
-        return this.loopMonitor.arrivals.getLagMs();
+        return this.loopMonitor.arrivalEstimator.getLagMs();
     }
 
     override recordAnswered(resolved: ResolvedRequest, details: ResponseDetails): void {
@@ -379,7 +379,7 @@
 
     async receiveBundle(revision: number, text: string): Promise<void> {
         const startedAt = performance.now();
-        this.loopMonitor.noteWork("bundles");
+        this.loopMonitor.countWork("bundles");
         const bundle = await this.decoder.decode(text);
         if (this.bundleIndex !== undefined && bundle.revision <= this.bundleIndex.bundle.revision) {
             return;
@@ -390,7 +390,7 @@
         const limits = bundle.accounts.filter(account => account.prepaidTokens !== undefined);
         // Report only changed limits: a report per router and bundle would load the leader.
         if (this.purse.setLimits(limits.map(account => ({ account: account.name, tokens: account.prepaidTokens! })))) {
-            this.prepaidReporter.askReport();
+            this.prepaidReporter.requestReport();
         }
     }
 
@@ -407,11 +407,18 @@
             this.controllersReachableSince = now;
         }
         this.lastControllerResponseAt = now;
-        if (this.otherRouters.record(routers, this.controllersReachableSince, this.prepaidReporter.routers, now)) {
+        if (
+            this.otherRouters.recordListed(
+                routers,
+                this.controllersReachableSince,
+                this.prepaidReporter.routerCount,
+                now,
+            )
+        ) {
             this.retryBudgets.forEach(budget => budget.setMaxTokens(this.computeRetrySlack()));
         }
         if (answer.hasMajority) {
-            this.controllerFeeds.setNamed(answer.controllers);
+            this.controllerFeeds.setMembers(answer.controllers);
         }
     }
 
@@ -427,7 +434,7 @@
         current: UpstreamRegistration | undefined,
     ): void {
         if (previous?.bornAt !== undefined && previous.bornAt !== current?.bornAt) {
-            this.upstreams.forget(previous.address);
+            this.upstreams.drain(previous.address);
         }
     }
 
@@ -436,7 +443,7 @@
         this.registry.evictExpired(now);
         const known = this.registry.list(now).map(({ registration }) => registration);
         this.load.retainOnly(new Set(known.map(getIncarnationKey)));
-        this.upstreams.forgetExcept(new Set(known.map(registration => registration.address)));
+        this.upstreams.drainExcept(new Set(known.map(registration => registration.address)));
     }
 
     private receiveEvacuations(list: EvacuationList): void {
--- a/src/daemons/directRouter/knownSuspects.ts
+++ b/src/daemons/directRouter/knownSuspects.ts
@@ -1,7 +1,7 @@
 /** The newest list from the controllers of requests suspected of crashing upstreams. */
-import type { SuspectList, ToldSuspect } from "../../protocol/fleetMethods.js";
+import type { SuspectEntry, SuspectList } from "../../protocol/fleetMethods.js";
 
-interface KnownSuspect extends ToldSuspect {
+interface KnownSuspect extends SuspectEntry {
     /** Monotonic clock, milliseconds. */
     readonly expiresAt: number;
 }
--- a/src/daemons/directRouter/otherRouters.ts
+++ b/src/daemons/directRouter/otherRouters.ts
@@ -35,7 +35,12 @@
      * Records the routers that a controller lists. `inContactSince`: start of uninterrupted contact with controllers.
      * `reportingCount`: number of routers that report prepaid tokens. Returns whether the number of routers changed.
      */
-    record(listed: readonly RouterContact[], inContactSince: number, reportingCount: number, now: number): boolean {
+    recordListed(
+        listed: readonly RouterContact[],
+        inContactSince: number,
+        reportingCount: number,
+        now: number,
+    ): boolean {
         this.knownRouters.record(listed, inContactSince, now);
         const others = this.knownRouters.list();
         const newCount = Math.max(1 + others.length, reportingCount);
--- a/src/daemons/directRouter/placementSharer.ts
+++ b/src/daemons/directRouter/placementSharer.ts
@@ -18,11 +18,11 @@
 /** Times in milliseconds. */
 export interface PlacementSharerOptions {
     /** Time for which placements are batched before they are sent. */
-    readonly gatherMs: number;
+    readonly batchDelayMs: number;
     /** Batching time at a group relay. */
-    readonly relayGatherMs: number;
+    readonly relayBatchDelayMs: number;
     /** Minimum number of uncached prompt tokens for a placement to be shared. */
-    readonly leastTokens: number;
+    readonly minTokens: number;
 }
 
 /** A placement made by this router, or one that it forwards as a relay. */
@@ -66,7 +66,7 @@
 
     /** Queues a placement for the next batch. */
     share({ upstream, uncachedTokens, excessPrefillMs }: Placement, parts: readonly PromptPart[]): void {
-        if (uncachedTokens >= this.options.leastTokens) {
+        if (uncachedTokens >= this.options.minTokens) {
             const router = this.self.address;
             const { id, bornAt } = upstream;
             const placement = {
@@ -109,9 +109,9 @@
     }
 
     private async flushAfterDelay(): Promise<void> {
-        const { gatherMs, relayGatherMs } = this.options;
+        const { batchDelayMs, relayBatchDelayMs } = this.options;
         const isGroupRelay = this.groupLinks.relay === undefined && this.groupLinks.members.length > 0;
-        await this.clock.wait(isGroupRelay ? relayGatherMs : gatherMs);
+        await this.clock.wait(isGroupRelay ? relayBatchDelayMs : batchDelayMs);
         const batch = this.pending;
         this.pending = [];
         this.isFlushScheduled = false;
--- a/src/daemons/directRouter/prepaidBorrower.ts
+++ b/src/daemons/directRouter/prepaidBorrower.ts
@@ -12,13 +12,13 @@
 /** Times in milliseconds. */
 export interface PrepaidBorrowerOptions {
     /** Maximum number of holders in other groups that are asked per request, sequentially. */
-    readonly maxAsked: number;
+    readonly maxLenders: number;
     /** How long a request waits for a lender's response. */
     readonly callTimeoutMs: number;
     /** How long a response is awaited in the background: without it, the tokens lent are lost. */
-    readonly lateAnswerMs: number;
+    readonly lateResponseTimeoutMs: number;
     /** How long a router that did not respond is not asked again. */
-    readonly avoidMs: number;
+    readonly backoffMs: number;
     /** Interval between returns of unused tokens. */
     readonly returnPeriodMs: number;
 }
@@ -93,9 +93,9 @@
     }
 
     /** Borrows the shortfall sequentially from holders in other groups. Returns whether the reservation is covered. */
-    async borrow(account: string, tokens: number, rank: number): Promise<boolean> {
+    async borrowFromOtherGroups(account: string, tokens: number, rank: number): Promise<boolean> {
         const lenders = this.holders.listHoldersOfOtherGroups(account, address => this.isEligible(address));
-        const count = Math.min(this.options.maxAsked, lenders.length);
+        const count = Math.min(this.options.maxLenders, lenders.length);
         for (let i = 0; i < count; i++) {
             const shortfall = this.getShortfall(account, tokens, rank);
             if (shortfall === 0) {
@@ -139,10 +139,16 @@
      * deducted them. Late tokens are returned with other unused tokens. Never rejects.
      */
     private async receiveLoan(address: string, request: LoanRequest): Promise<void> {
-        const { callTimeoutMs, lateAnswerMs } = this.options;
+        const { callTimeoutMs, lateResponseTimeoutMs } = this.options;
         const { account, tokens } = request;
         try {
-            const answer = await this.network.call(address, lendPrepaidMethod, request, lateAnswerMs, callTimeoutMs);
+            const answer = await this.network.call(
+                address,
+                lendPrepaidMethod,
+                request,
+                lateResponseTimeoutMs,
+                callTimeoutMs,
+            );
             this.backoffUntil.delete(address);
             this.purse.addBorrowed(account, answer.tokens);
         }
@@ -154,6 +160,6 @@
     }
 
     private startBackoff(address: string): void {
-        this.backoffUntil.set(address, performance.now() + this.options.avoidMs);
+        this.backoffUntil.set(address, performance.now() + this.options.backoffMs);
     }
 }
--- a/src/daemons/directRouter/prepaidReporter.ts
+++ b/src/daemons/directRouter/prepaidReporter.ts
@@ -1,5 +1,5 @@
 /** Reports a router's prepaid tokens to the controllers, one report at a time, and applies the grants to the purse. */
-import { Signal } from "../../consensus/signal.js";
+import { ConditionVariable } from "../../consensus/conditionVariable.js";
 import type { LocalTokenBudget } from "../../domain/localTokenBudget.js";
 import type { PrepaidResult } from "../../domain/prepaidLedger.js";
 import type { Clock } from "../../ports/clock.js";
@@ -12,17 +12,17 @@
     /** Interval between reports when no request is waiting for a grant. */
     readonly periodMs: number;
     /** Minimum delay between reports when requests are waiting for a grant. */
-    readonly urgentPauseMs: number;
+    readonly minPeriodMs: number;
     readonly callTimeoutMs: number;
     /** Timeout of the final report on shutdown. Must be shorter than the platform's termination grace period. */
-    readonly closingTimeoutMs: number;
+    readonly shutdownTimeoutMs: number;
 }
 
 export class PrepaidReporter {
     /** Number of routers that share the accounts, from the latest response. */
-    routers = 1;
-    private readonly reportRequested = new Signal();
-    private readonly reportAnswered = new Signal();
+    routerCount = 1;
+    private readonly reportRequested = new ConditionVariable();
+    private readonly reportAnswered = new ConditionVariable();
     /** The controller that responded to the last report; undefined after a failure. */
     private preferredController: string | undefined;
     private isStopped = false;
@@ -49,9 +49,9 @@
     async run(): Promise<void> {
         while (!this.isStopped) {
             await this.sendReport(false);
-            await this.clock.wait(this.options.urgentPauseMs);
+            await this.clock.wait(this.options.minPeriodMs);
             if (!this.isReportRequested && !this.isStopped) {
-                await this.reportRequested.wait(this.options.periodMs - this.options.urgentPauseMs);
+                await this.reportRequested.wait(this.options.periodMs - this.options.minPeriodMs);
             }
         }
     }
@@ -62,16 +62,16 @@
     }
 
     /** Schedules another report as soon as possible, since a report in progress does not include the latest changes. */
-    askReport(): void {
+    requestReport(): void {
         this.isReportRequested = true;
         this.reportRequested.notifyAll();
     }
 
     /** Requests a report. Resolves when the response has been applied, or after `timeoutMs`. */
-    async waitGrant(timeoutMs: number): Promise<void> {
+    async waitForAnswer(timeoutMs: number): Promise<void> {
         const targetRound = this.lastStartedRound + 1;
         const deadline = this.clock.getMonotonicMs() + timeoutMs;
-        this.askReport();
+        this.requestReport();
         while (this.lastAnsweredRound < targetRound) {
             const remainingMs = deadline - this.clock.getMonotonicMs();
             if (remainingMs <= 0) {
@@ -85,7 +85,7 @@
     async stop(): Promise<void> {
         this.isStopped = true;
         this.reportRequested.notifyAll();
-        await Promise.race([this.sendReport(true), this.clock.wait(this.options.closingTimeoutMs)]);
+        await Promise.race([this.sendReport(true), this.clock.wait(this.options.shutdownTimeoutMs)]);
     }
 
     /** Sends a report to each controller in turn until one responds. */
@@ -114,13 +114,13 @@
     /** Applies a response to the purse and wakes the requests that wait for it. */
     private receiveAnswer(address: string, sequence: number, round: number, answer: PrepaidResult): void {
         this.purse.applyAnswer(sequence, answer.accounts, this.clock.getMonotonicMs());
-        this.routers = Math.max(1, answer.routers);
+        this.routerCount = Math.max(1, answer.routers);
         this.preferredController = address;
         this.lastAnsweredAt = this.clock.getMonotonicMs();
         this.lastAnsweredRound = round;
         this.logOutcomeChange(true, "");
         if (answer.awaitsConfirmation) {
-            this.askReport();
+            this.requestReport();
         }
         this.reportAnswered.notifyAll();
     }
--- a/src/daemons/directRouter/relayRequest.ts
+++ b/src/daemons/directRouter/relayRequest.ts
@@ -2,7 +2,7 @@
 import type { BundleAccount, BundleRoute, BundleService } from "../../domain/bundle.js";
 import { computeFingerprint } from "../../domain/requestFingerprint.js";
 import type { PromptPart } from "../../domain/upstreamLoad.js";
-import type { PassedRequest } from "../../ports/directUpstream.js";
+import type { ForwardedRequest } from "../../ports/directUpstream.js";
 
 /** When a request was received. Monotonic clock, milliseconds. */
 export interface RequestTimes {
@@ -15,7 +15,7 @@
 }
 
 export interface RelayRequest extends RequestTimes {
-    readonly forwarded: PassedRequest;
+    readonly forwarded: ForwardedRequest;
     readonly host: string;
     readonly apiKey: string | undefined;
     /** Timeout set by the caller, in milliseconds; undefined if there is none. */
--- a/src/daemons/directRouter/relayRun.ts
+++ b/src/daemons/directRouter/relayRun.ts
@@ -52,7 +52,7 @@
     /** Resolves when the final response has been written or the caller has disconnected. */
     async run(): Promise<void> {
         const timer = setTimeout(() => this.abort("late"), Math.max(0, this.deadline - performance.now()));
-        this.sink.onGone(() => this.abort("gone"));
+        this.sink.onDisconnect(() => this.abort("gone"));
         try {
             await this.runAttempts();
         }
@@ -338,10 +338,10 @@
             return;
         }
         if (this.progress.isHeadSent) {
-            this.sink.breakOff();
+            this.sink.abort();
         }
         else {
-            this.sink.refuse(refusal);
+            this.sink.sendRefusal(refusal);
         }
     }
 }
--- a/src/daemons/directRouter/upstreamEndReporter.ts
+++ b/src/daemons/directRouter/upstreamEndReporter.ts
@@ -1,10 +1,10 @@
 /** Reports crashed upstreams and cleared requests to the controllers, retrying until one accepts the report. */
-import { Signal } from "../../consensus/signal.js";
+import { ConditionVariable } from "../../consensus/conditionVariable.js";
 import { MAX_INTERRUPTED_REQUESTS } from "../../domain/upstreamEndCommands.js";
 import type { Clock } from "../../ports/clock.js";
 import type { Log } from "../../ports/log.js";
 import type { PeerNetwork } from "../../ports/peer.js";
-import { type EndReport, MOST_REPORTED_ENDS, reportEndsMethod } from "../../protocol/fleetMethods.js";
+import { type EndReport, MAX_REPORTED_ENDS, reportEndsMethod } from "../../protocol/fleetMethods.js";
 import type { EndedUpstream } from "./upstreamEndWatch.js";
 
 /** Times in milliseconds. */
@@ -19,7 +19,7 @@
 export class UpstreamEndReporter {
     private pendingEnds: EndedUpstream[] = [];
     private readonly pendingCleared = new Set<string>();
-    private readonly pendingAdded = new Signal();
+    private readonly pendingAdded = new ConditionVariable();
     private isStopped = false;
 
     constructor(
@@ -49,7 +49,7 @@
 
     /** Queues a crash. Crashes that do not fit into one report are dropped, so that the queue is bounded. */
     addEnd(end: EndedUpstream): void {
-        if (this.pendingEnds.length < MOST_REPORTED_ENDS) {
+        if (this.pendingEnds.length < MAX_REPORTED_ENDS) {
             this.pendingEnds.push(end);
             this.pendingAdded.notifyAll();
         }
--- a/src/daemons/loopWatch.ts
+++ b/src/daemons/eventLoopMonitor.ts
@@ -32,9 +32,9 @@
     readonly workCounts: Map<LoopWorkType, number>;
 }
 
-export class LoopWatch {
+export class EventLoopMonitor {
     /** Estimates when data that is read now arrived. */
-    readonly arrivals: ArrivalEstimator;
+    readonly arrivalEstimator: ArrivalEstimator;
     private timer: NodeJS.Timeout | undefined;
     private tickDueAt = 0;
     private statistics: LagStatistics = createLagStatistics(0);
@@ -44,7 +44,7 @@
     private readonly suspensionHandlers: (() => void)[] = [];
 
     constructor(private readonly clock: Clock, private readonly log: Log, private readonly metrics: Metrics) {
-        this.arrivals = new ArrivalEstimator(LOOP_TICK_INTERVAL_MS, clock.getMonotonicMs());
+        this.arrivalEstimator = new ArrivalEstimator(LOOP_TICK_INTERVAL_MS, clock.getMonotonicMs());
     }
 
     start(): void {
@@ -60,11 +60,11 @@
     }
 
     /** Registers a handler for suspensions of the box, after which the age of cached state is underestimated. */
-    onTimeMissed(handler: () => void): void {
+    onSuspension(handler: () => void): void {
         this.suspensionHandlers.push(handler);
     }
 
-    noteWork(work: LoopWorkType): void {
+    countWork(work: LoopWorkType): void {
         const { workCounts } = this.statistics;
         workCounts.set(work, (workCounts.get(work) ?? 0) + 1);
     }
@@ -72,17 +72,17 @@
     /** Schedules the callback after the poll only for a delayed turn, since it costs another turn of the loop. */
     private handleTimer(): void {
         this.recordTick(this.clock.getMonotonicMs());
-        if (this.arrivals.getLagMs() > 0) {
-            setImmediate(() => this.arrivals.recordPollEnd());
+        if (this.arrivalEstimator.getLagMs() > 0) {
+            setImmediate(() => this.arrivalEstimator.recordPollEnd());
         }
         else {
-            this.arrivals.recordPollEnd();
+            this.arrivalEstimator.recordPollEnd();
         }
     }
 
     /** Called by the timer. */
     recordTick(now: number): void {
-        this.arrivals.recordTick(now);
+        this.arrivalEstimator.recordTick(now);
         this.detectSuspension(now);
         const lagMs = Math.max(0, now - this.tickDueAt);
         this.tickDueAt = now + LOOP_TICK_INTERVAL_MS;
--- a/src/daemons/task.ts
+++ b/src/daemons/repeatingTask.ts
@@ -22,13 +22,13 @@
     }
 
     /** Ends the current wait, so that the next run starts immediately. */
-    hurry(): void {
+    runNow(): void {
         this.endWait?.();
     }
 
     async stop(): Promise<void> {
         this.stopped = true;
-        this.hurry();
+        this.runNow();
         await this.running;
     }
 
--- a/src/daemons/router/job.ts
+++ b/src/daemons/router/job.ts
@@ -40,7 +40,7 @@
     /** Ends with a refusal, which may follow a partial answer. */
     abstract fail(refusal: Refusal): void;
     /** Whether a part of the answer has been sent and cannot be discarded. */
-    abstract hasBegun(): boolean;
+    abstract hasStarted(): boolean;
     /** Whether the caller has disconnected. */
-    abstract isGone(): boolean;
+    abstract isDisconnected(): boolean;
 }
--- a/src/daemons/router/callerRequests.ts
+++ b/src/daemons/router/jobFactory.ts
@@ -32,7 +32,7 @@
 });
 export type ChatBody = z.infer<typeof chatBody>;
 
-export class CallerRequests {
+export class JobFactory {
     private readonly verifiedKeys = new Map<string, string>();
     private readonly ownerPrefix: string;
 
@@ -68,7 +68,7 @@
     }
 
     /** Creates the job of a call to a plain service. Throws a RefusalError with `ran` "no" if the call is invalid. */
-    createPlainJob(
+    createPlainServiceJob(
         headers: CallerHeaders,
         service: string,
         call: { method: string; path: string; headers: Record<string, string>; body: Buffer; },
--- a/src/daemons/router/ledgerClient.ts
+++ b/src/daemons/router/ledgerClient.ts
@@ -2,7 +2,7 @@
  * Draws tokens from ledgers for a router's reservations, and returns those that are not needed. Draws from the nearest
  * ledger; from the next ones if it cannot be reached, or is short of tokens and cannot reach the others.
  */
-import { Signal } from "../../consensus/signal.js";
+import { ConditionVariable } from "../../consensus/conditionVariable.js";
 import { DecayingRate } from "../../domain/decayingRate.js";
 import { computeFreeGrantTokens, GrantStore, type Reservation, type RouterGrant } from "../../domain/grantStore.js";
 import { createRefusal, getRefusal, type Refusal, RefusalError } from "../../domain/resultCodes.js";
@@ -50,7 +50,7 @@
     private readonly demands = new Map<string, DecayingRate>();
     private readonly pendingDraws = new Map<string, Promise<unknown>>();
     private readonly cachedRefusals = new Map<string, CachedRefusal>();
-    private readonly tokensFreed = new Signal();
+    private readonly tokensFreed = new ConditionVariable();
 
     constructor(
         private readonly network: PeerNetwork,
--- a/src/daemons/router/usageWitness.ts
+++ b/src/daemons/router/relayedUsageReporter.ts
@@ -4,7 +4,7 @@
 import type { StartRunParams } from "../../protocol/runMethods.js";
 import type { UsageOutbox } from "../usageOutbox.js";
 
-export class UsageWitness {
+export class RelayedUsageReporter {
     constructor(private readonly outbox: UsageOutbox, private readonly clock: Clock) {}
 
     /** Records the tokens known to have been consumed, a lower bound of what the sidecar's own record would report. */
--- a/src/daemons/router/requestRunner.ts
+++ b/src/daemons/router/requestRunner.ts
@@ -27,8 +27,8 @@
     type RequestProgress,
     type RunOutcome,
 } from "./progress.js";
+import type { RelayedUsageReporter } from "./relayedUsageReporter.js";
 import type { RunClient, RunStream } from "./runClient.js";
-import type { UsageWitness } from "./usageWitness.js";
 
 /** Including the first attempt. Upstreams that could not be reached are not counted. */
 const MAX_ATTEMPTS = 6;
@@ -51,7 +51,7 @@
     readonly runs: RunClient;
     readonly claims: ClaimClient;
     readonly intents: IntentClient;
-    readonly witness: UsageWitness;
+    readonly relayedUsageReporter: RelayedUsageReporter;
 }
 
 export class RequestRunner {
@@ -120,7 +120,7 @@
             return undefined;
         }
         if (outcome.type === "failed") {
-            if (job.repeatable && !sink.hasBegun()) {
+            if (job.repeatable && !sink.hasStarted()) {
                 return undefined;
             }
             throw new RefusalError(outcome.refusal);
@@ -227,8 +227,8 @@
             || refusal.code === "requestIdReused"
             || refusal.code === "readerTooSlow";
         const now = this.deps.clock.getMonotonicMs();
-        const mayRunAgain = refusal.ran === "no" || (job.repeatable && (progress.resumable || !sink.hasBegun()));
-        if (isFinal || sink.isGone() || now >= job.deadline || !mayRunAgain) {
+        const mayRunAgain = refusal.ran === "no" || (job.repeatable && (progress.resumable || !sink.hasStarted()));
+        if (isFinal || sink.isDisconnected() || now >= job.deadline || !mayRunAgain) {
             throw new RefusalError(
                 refusal.ran === "unknown" && !job.repeatable ? { ...refusal, code: "outcomeUnknown" } : refusal,
             );
@@ -372,7 +372,7 @@
                 return outcome;
             }
             const relayedTokens = progress.position - getResumePosition(params);
-            this.deps.witness.record(params, progress.promptTokens ?? 0, relayedTokens);
+            this.deps.relayedUsageReporter.record(params, progress.promptTokens ?? 0, relayedTokens);
             reservation.settlePartially((progress.promptTokens ?? 0) + relayedTokens);
             progress.outputTokens += relayedTokens;
             return { type: "failed", refusal: { ...refusal, ran: "unknown" } };
@@ -480,7 +480,7 @@
     private startCancellationTimer(job: Job, sink: AnswerSink, stream: RunStream): () => void {
         const timer = setInterval(() => {
             const isPastDeadline = this.deps.clock.getMonotonicMs() > job.deadline;
-            if (isPastDeadline || (sink.isGone() && !job.hasIdempotencyKey && job.repeatable)) {
+            if (isPastDeadline || (sink.isDisconnected() && !job.hasIdempotencyKey && job.repeatable)) {
                 stream.cancel();
             }
         }, 100);
--- a/src/daemons/router/routerDaemon.ts
+++ b/src/daemons/router/routerDaemon.ts
@@ -5,10 +5,10 @@
 import type { Metrics } from "../../ports/metrics.js";
 import type { PeerHandlers } from "../../ports/peer.js";
 import type { ConfigClient } from "../configClient.js";
-import { RepeatingTask } from "../task.js";
+import { RepeatingTask } from "../repeatingTask.js";
 import type { UsageOutbox } from "../usageOutbox.js";
-import { type CallerRequests, tryGetReadinessRefusal } from "./callerRequests.js";
 import type { AnswerSink, Job } from "./job.js";
+import { type JobFactory, tryGetReadinessRefusal } from "./jobFactory.js";
 import type { LedgerClient } from "./ledgerClient.js";
 import type { RequestRunner } from "./requestRunner.js";
 import type { RunClient } from "./runClient.js";
@@ -31,7 +31,7 @@
     private readonly tasks: RepeatingTask[];
 
     constructor(
-        readonly requests: CallerRequests,
+        readonly jobFactory: JobFactory,
         private readonly runner: RequestRunner,
         private readonly ledgers: LedgerClient,
         private readonly outbox: UsageOutbox,
@@ -67,7 +67,7 @@
     }
 
     /** Throws a RefusalError if the router cannot accept a request now. */
-    checkOpen(): void {
+    checkAcceptsRequests(): void {
         const refusal = tryGetReadinessRefusal(this.config.isReady(), this.openRequests, this.options.maxOpenRequests);
         if (refusal !== undefined) {
             throw new RefusalError(refusal);
@@ -75,7 +75,7 @@
     }
 
     /** Runs a job and writes its answer to the sink. Never rejects. */
-    async answer(job: Job, sink: AnswerSink): Promise<void> {
+    async handleRequest(job: Job, sink: AnswerSink): Promise<void> {
         this.openRequests += 1;
         this.metrics.setGauge("router.open_requests", this.openRequests);
         try {
@@ -91,13 +91,13 @@
     }
 
     /** First phase of a planned stop: reports "stopping" and keeps serving until load balancers have removed the router. */
-    async prepareStop(): Promise<void> {
+    async startShutdown(): Promise<void> {
         this.isStopping = true;
         await this.clock.wait(this.options.lameDuckMs);
     }
 
     /** Second phase of a planned stop: drains open requests, returns the grants and flushes the usage records. */
-    async finishStop(): Promise<void> {
+    async finishShutdown(): Promise<void> {
         const deadline = this.clock.getMonotonicMs() + this.options.drainMs;
         while (this.openRequests > 0 && this.clock.getMonotonicMs() < deadline) {
             await this.clock.wait(DRAIN_POLL_INTERVAL_MS);
--- a/src/daemons/sidecar/run.ts
+++ b/src/daemons/sidecar/run.ts
@@ -1,5 +1,5 @@
 /** One run at a sidecar: its answer so far, who listens to it, and how far each listener has read. */
-import { Signal } from "../../consensus/signal.js";
+import { ConditionVariable } from "../../consensus/conditionVariable.js";
 import { createRefusal, type Refusal } from "../../domain/resultCodes.js";
 import type { Peer } from "../../ports/peer.js";
 import type { UpstreamEvent } from "../../ports/upstream.js";
@@ -30,7 +30,7 @@
     private position: number;
     private keptBytes = 0;
     private readonly listeners = new Set<Listener>();
-    private readonly changed = new Signal();
+    private readonly changed = new ConditionVariable();
     private end: Omit<RunEnd, "listener"> | undefined;
     private promptTokens: number | undefined;
     private outputTokens = 0;
--- a/src/daemons/sidecar/sidecarDaemon.ts
+++ b/src/daemons/sidecar/sidecarDaemon.ts
@@ -27,7 +27,7 @@
 } from "../../protocol/runMethods.js";
 import type { ConfigClient } from "../configClient.js";
 import type { ControllerAddress } from "../controllerAddress.js";
-import { RepeatingTask } from "../task.js";
+import { RepeatingTask } from "../repeatingTask.js";
 import { UsageOutbox } from "../usageOutbox.js";
 import { OrderGate } from "./orderGate.js";
 import { Run } from "./run.js";
@@ -161,7 +161,7 @@
         handlers.add(listWitnessMethod, params => ({ topUps: this.witnesses.getOf(params.controller) }));
         handlers.add(orderMethod, async order => {
             this.orders.check(order);
-            await this.getRunner(order.upstream).client.giveOrder(order);
+            await this.getRunner(order.upstream).client.sendOrder(order);
             this.log.info("order_given", { upstream: order.upstream, model: order.model, term: order.term });
         });
     }
@@ -280,7 +280,7 @@
         const client = this.options.createClient(upstream);
         const runner = new UpstreamRunner(upstream, client, this.clock, this.log, this.metrics, record => {
             this.outbox.add(record);
-            this.tasks[0]!.hurry();
+            this.tasks[0]!.runNow();
         });
         this.runners.set(upstream.name, { runner, url: upstream.url });
         return runner;
--- a/src/daemons/sidecar/upstreamRunner.ts
+++ b/src/daemons/sidecar/upstreamRunner.ts
@@ -7,7 +7,7 @@
 import type { Clock } from "../../ports/clock.js";
 import type { Log } from "../../ports/log.js";
 import type { Metrics } from "../../ports/metrics.js";
-import type { AskedRest, UpstreamClient } from "../../ports/upstream.js";
+import type { RetryAfterNotice, UpstreamClient } from "../../ports/upstream.js";
 import type { SidecarLoad, StartRunParams } from "../../protocol/runMethods.js";
 import type { Run } from "./run.js";
 
@@ -39,7 +39,7 @@
         private readonly recordUsage: (record: UsageRecord) => void,
     ) {
         this.queue = new RankQueue(upstream.slots);
-        client.onRest(rest => this.receiveRest(rest));
+        client.onRetryAfter(rest => this.receiveRest(rest));
     }
 
     /** Takes a changed declaration over. */
@@ -100,15 +100,15 @@
     }
 
     /** Gives what only waits back: another upstream of the service may take it before the rest is over. */
-    private receiveRest({ restMs, said }: AskedRest): void {
+    private receiveRest({ retryAfterMs, headerValue }: RetryAfterNotice): void {
         const { name } = this.upstream;
-        if (restMs === undefined) {
-            this.log.warn("upstream_signal_unreadable", { upstream: name, said });
+        if (retryAfterMs === undefined) {
+            this.log.warn("upstream_signal_unreadable", { upstream: name, said: headerValue });
             return;
         }
         this.metrics.addCount("sidecar.upstream_rests");
-        this.log.info("upstream_rest", { upstream: name, rest_ms: restMs });
-        this.rests.record({ id: name }, restMs, this.clock.getMonotonicMs());
+        this.log.info("upstream_rest", { upstream: name, rest_ms: retryAfterMs });
+        this.rests.record({ id: name }, retryAfterMs, this.clock.getMonotonicMs());
         const keptMs = this.getRestMs();
         if (keptMs > 0) {
             const refusal = createRestRefusal(keptMs);
--- a/src/ports/answerSink.ts
+++ b/src/ports/answerSink.ts
@@ -12,11 +12,11 @@
     /** Ends a complete answer. */
     abstract end(): void;
     /** Aborts an incomplete answer, so that the caller can detect the truncation. */
-    abstract breakOff(): void;
+    abstract abort(): void;
     /** Answers with a refusal by the router itself. */
-    abstract refuse(refusal: Refusal): void;
+    abstract sendRefusal(refusal: Refusal): void;
     /** Calls `handler` each time the send buffer has drained. */
     abstract onDrain(handler: () => void): void;
     /** Calls `handler` once if the caller disconnects before the answer has ended. */
-    abstract onGone(handler: () => void): void;
+    abstract onDisconnect(handler: () => void): void;
 }
--- a/src/ports/directUpstream.ts
+++ b/src/ports/directUpstream.ts
@@ -3,7 +3,7 @@
 import type { UpstreamSignals } from "../domain/upstreamSignals.js";
 
 /** A caller's request as it is forwarded. */
-export interface PassedRequest {
+export interface ForwardedRequest {
     /** Id of this attempt, set by the caller. */
     readonly id: string;
     readonly method: string;
@@ -17,7 +17,7 @@
 /** One attempt to send a request to an upstream. */
 export interface UpstreamCall {
     readonly upstream: UpstreamRegistration;
-    readonly request: PassedRequest;
+    readonly request: ForwardedRequest;
     /** Client account that the request runs for; undefined on public routes. */
     readonly account: string | undefined;
     /** Time left until the deadline, in milliseconds. */
@@ -40,9 +40,9 @@
     /** The upstream states that it has not run the request and will not run it. */
     readonly isNotRun: boolean;
     /** Another upstream now answers at the address in place of the intended one. */
-    readonly isFromAnother: boolean;
+    readonly isMisdirected: boolean;
     /** Whether the response belongs to this request; false for a stray response to another one. */
-    readonly isOwn: boolean;
+    readonly hasMatchingId: boolean;
     /** Whether the response carries an engine's signature. */
     readonly isSigned: boolean;
     /** Whether the response delimits its body; otherwise it ends when the connection closes, even if it is truncated. */
@@ -85,9 +85,9 @@
     /** Sends a request and reports the response to `listener`. Never throws. */
     abstract send(call: UpstreamCall, listener: UpstreamListener): UpstreamExchange;
     /** Closes connections to addresses that are not in `known` once they are idle. */
-    abstract forgetExcept(known: ReadonlySet<string>): void;
+    abstract drainExcept(known: ReadonlySet<string>): void;
     /** Uses new connections for later requests to an address and closes the existing ones once they are idle. */
-    abstract forget(address: string): void;
+    abstract drain(address: string): void;
     /**
      * Whether a process is listening at an address: false if a connection is refused, undefined if that cannot be
      * determined. Sends nothing. Never rejects.
--- a/src/ports/upstream.ts
+++ b/src/ports/upstream.ts
@@ -14,11 +14,11 @@
 }
 
 /** The Retry-After header of an upstream that rejected a request. */
-export interface AskedRest {
+export interface RetryAfterNotice {
     /** Requested delay in milliseconds; undefined if the header is invalid. */
-    readonly restMs: number | undefined;
+    readonly retryAfterMs: number | undefined;
     /** The header as received. */
-    readonly said: string;
+    readonly headerValue: string;
 }
 
 /** Load reported by an engine, with a delay. */
@@ -29,14 +29,14 @@
 
 /** Runs requests on an upstream. Fails with RefusalErrors whose `ran` says whether the upstream may have run the request. */
 export abstract class UpstreamClient {
-    private retryAfterListener: (rest: AskedRest) => void = () => undefined;
+    private retryAfterListener: (rest: RetryAfterNotice) => void = () => undefined;
 
     /** Calls `listener` whenever the upstream rejects a request with Retry-After. */
-    onRest(listener: (rest: AskedRest) => void): void {
+    onRetryAfter(listener: (rest: RetryAfterNotice) => void): void {
         this.retryAfterListener = listener;
     }
 
-    protected notifyRetryAfter(rest: AskedRest): void {
+    protected notifyRetryAfter(rest: RetryAfterNotice): void {
         this.retryAfterListener(rest);
     }
 
@@ -50,5 +50,5 @@
     ): AsyncGenerator<UpstreamEvent>;
     /** Passes a plain HTTP call through. */
     abstract runPlain(request: PlainRequest, requestId: string, signal: AbortSignal): AsyncGenerator<UpstreamEvent>;
-    abstract giveOrder(order: EngineOrder): Promise<void>;
+    abstract sendOrder(order: EngineOrder): Promise<void>;
 }
--- a/src/protocol/fleetMethods.ts
+++ b/src/protocol/fleetMethods.ts
@@ -20,7 +20,7 @@
 const nonNegativeInt = z.int().min(0);
 
 /** Maximum number of upstreams in one end report. */
-export const MOST_REPORTED_ENDS = 64;
+export const MAX_REPORTED_ENDS = 64;
 
 const registrationSchema = z.object({
     id: z.string().min(1).max(128),
@@ -50,7 +50,7 @@
 });
 /** Requests that were in progress when several upstreams ended. */
 export type SuspectList = z.infer<typeof suspectListSchema>;
-export type ToldSuspect = SuspectList["suspects"][number];
+export type SuspectEntry = SuspectList["suspects"][number];
 
 const heardSchema = z.object({
     registration: registrationSchema,
@@ -133,7 +133,7 @@
         /** Milliseconds from the first interrupted request to this report. */
         brokenAgoMs: nonNegativeInt,
         requests: z.array(interruptedRequestSchema).min(1).max(MAX_INTERRUPTED_REQUESTS),
-    })).max(MOST_REPORTED_ENDS),
+    })).max(MAX_REPORTED_ENDS),
     /** Suspect requests that were answered completely. */
     cleared: z.array(fingerprintSchema).max(MAX_INTERRUPTED_REQUESTS),
 });
--- a/src/replay/chatCaller.ts
+++ b/src/replay/chatClient.ts
@@ -2,13 +2,13 @@
 import { request } from "undici";
 
 /** Outcome of a chat request as seen by the client. */
-export interface CallResult {
+export interface ChatResult {
     /** HTTP status; 0 if no response was received. */
     readonly status: number;
     /** Response text received, possibly truncated. */
     readonly text: string;
     /** Whether the response was received completely. */
-    readonly whole: boolean;
+    readonly isComplete: boolean;
     readonly usage: { readonly prompt_tokens: number; readonly completion_tokens: number; } | undefined;
     readonly error: {
         readonly type: string;
@@ -37,10 +37,10 @@
 
 const HEADERS_TIMEOUT_MS = 120_000;
 
-type ResponseContent = Pick<CallResult, "text" | "whole" | "usage" | "error">;
+type ResponseContent = Pick<ChatResult, "text" | "isComplete" | "usage" | "error">;
 
 /** Sends a chat request. A lost connection yields an incomplete result instead of an error. */
-export async function askChatAt(call: ChatRequest): Promise<CallResult> {
+export async function sendChatRequest(call: ChatRequest): Promise<ChatResult> {
     const body = { model: call.model, messages: call.messages, max_tokens: call.maxTokens, stream: call.stream };
     const startedAt = performance.now();
     try {
@@ -67,7 +67,7 @@
         return {
             status: 0,
             text: "",
-            whole: false,
+            isComplete: false,
             usage: undefined,
             error: undefined,
             retryAfter: undefined,
@@ -80,12 +80,12 @@
 function parseJsonResponse(text: string): ResponseContent {
     const body = JSON.parse(text) as {
         choices?: { message: { content: string; }; }[];
-        usage?: CallResult["usage"];
-        error?: CallResult["error"];
+        usage?: ChatResult["usage"];
+        error?: ChatResult["error"];
     };
     return {
         text: body.choices?.[0]?.message.content ?? "",
-        whole: body.choices !== undefined,
+        isComplete: body.choices !== undefined,
         usage: body.usage,
         error: body.error,
     };
@@ -93,16 +93,16 @@
 
 interface StreamEvent {
     readonly choices?: readonly { readonly delta: { readonly content?: string; }; }[];
-    readonly usage?: CallResult["usage"];
-    readonly error?: CallResult["error"];
+    readonly usage?: ChatResult["usage"];
+    readonly error?: ChatResult["error"];
 }
 
 async function readEventStream(body: AsyncIterable<Buffer>, onText?: (text: string) => void): Promise<ResponseContent> {
     let partialEvent = "";
     let text = "";
-    let whole = false;
-    let usage: CallResult["usage"];
-    let error: CallResult["error"];
+    let isComplete = false;
+    let usage: ChatResult["usage"];
+    let error: ChatResult["error"];
     try {
         for await (const bytes of body) {
             partialEvent += bytes.toString();
@@ -110,7 +110,7 @@
             partialEvent = events.pop()!;
             for (const event of events) {
                 if (event === "data: [DONE]") {
-                    whole = true;
+                    isComplete = true;
                     continue;
                 }
                 const data = JSON.parse(event.slice("data: ".length)) as StreamEvent;
@@ -124,5 +124,5 @@
     catch {
         // The connection was lost: return the partial response.
     }
-    return { text, whole, usage, error };
+    return { text, isComplete, usage, error };
 }
--- a/src/replay/trueState.ts
+++ b/src/replay/fleetModel.ts
@@ -19,7 +19,7 @@
     }
 
     startRequest(id: string, budget: string, service: string, maxTokens: number): void {
-        this.openRequests.set(id, { budget, service, maxTokens: maxTokens });
+        this.openRequests.set(id, { budget, service, maxTokens });
     }
 
     endRequest(id: string, billedTokens: number): void {
--- a/src/replay/replayTrace.ts
+++ b/src/replay/replayTrace.ts
@@ -5,9 +5,9 @@
 import type { FleetStatus } from "../daemons/controller/statusService.js";
 import { countPromptTokens, getStandInAnswer } from "../daemons/standIn/standInAnswers.js";
 import type { BillRecord } from "../domain/billStore.js";
-import { askChatAt, type CallResult } from "./chatCaller.js";
+import { type ChatResult, sendChatRequest } from "./chatClient.js";
+import { FleetModel } from "./fleetModel.js";
 import type { TraceLine, TraceRequest } from "./trace.js";
-import { FleetModel } from "./trueState.js";
 
 /** Addresses and credentials of a fleet. */
 export const fleetSchema = z.strictObject({
@@ -51,7 +51,7 @@
 
 interface ReplayedRequest {
     readonly line: TraceRequest;
-    readonly result: CallResult;
+    readonly result: ChatResult;
     readonly isFalseRefusal: boolean;
 }
 
@@ -100,7 +100,7 @@
     const maxTokens = Buffer.byteLength(JSON.stringify(messages)) + line.maxTokens;
     const budget = fleet.budgets[line.account]!;
     model.startRequest(line.id, budget, line.service, maxTokens);
-    const result = await askChatAt({
+    const result = await sendChatRequest({
         url: router.url,
         key: fleet.keys[line.account]!,
         model: line.service,
@@ -114,7 +114,7 @@
         },
     });
     const falseRefusal = result.error !== undefined && model.isServable(line.id);
-    model.endRequest(line.id, result.whole ? billedTokens : 0);
+    model.endRequest(line.id, result.isComplete ? billedTokens : 0);
     return { line, result, isFalseRefusal: falseRefusal };
 }
 
@@ -174,7 +174,7 @@
     model: FleetModel,
     reverts: number,
 ): Promise<ReplayReport> {
-    const answered = replayed.filter(entry => entry.result.whole);
+    const answered = replayed.filter(entry => entry.result.isComplete);
     const refused = replayed.filter(entry => entry.result.error !== undefined);
     const bills = await waitForBills(answered, fleet);
     const runs = await fetchRunCounts(fleet);
@@ -201,7 +201,7 @@
         ran_but_refused_not_run:
             refused.filter(entry => entry.result.error!.ran === "no" && getRunCount(entry) > 0).length,
         non_repeatable_reruns: replayed.filter(entry => !entry.line.repeatable && getRunCount(entry) > 1).length,
-        cut_answers: replayed.filter(entry => !entry.result.whole && entry.result.error === undefined).length,
+        cut_answers: replayed.filter(entry => !entry.result.isComplete && entry.result.error === undefined).length,
         foreign_answers: replayed.filter(hasForeignText).length,
         reverts,
         waits: computeWaitsByRank(answered),
--- a/src/replay/trace.ts
+++ b/src/replay/trace.ts
@@ -57,7 +57,7 @@
 export type TraceFault = z.infer<typeof faultLineSchema>;
 
 /** Upper limit of each count; a count without a limit is not checked. */
-export const outcomeSchema = z.strictObject({
+export const expectedOutcomeSchema = z.strictObject({
     overspend_tokens: z.int().optional(),
     false_refusals: z.int().optional(),
     billed_twice: z.int().optional(),
@@ -68,7 +68,7 @@
     foreign_answers: z.int().optional(),
     reverts: z.int().optional(),
 });
-export type ExpectedOutcome = z.infer<typeof outcomeSchema>;
+export type ExpectedOutcome = z.infer<typeof expectedOutcomeSchema>;
 
 /** Reads a trace. The error lists every invalid line with its line number. */
 export async function readTrace(path: string): Promise<Result<TraceLine[], Refusal>> {
--- a/src/roleBase.ts
+++ b/src/roleBase.ts
@@ -2,7 +2,7 @@
 import { readFile } from "node:fs/promises";
 import { KeyValueLog } from "./adapters/keyValueLog.js";
 import { parseAddress, TcpNetwork } from "./adapters/rpc/tcpNetwork.js";
-import { LoopWatch } from "./daemons/loopWatch.js";
+import { EventLoopMonitor } from "./daemons/eventLoopMonitor.js";
 import { createRandomId } from "./domain/identifiers.js";
 import { createRefusal, RefusalError } from "./domain/resultCodes.js";
 import { SystemClock } from "./ports/clock.js";
@@ -18,7 +18,7 @@
     readonly log: Log;
     readonly metrics: Metrics;
     readonly handlers: PeerHandlers;
-    readonly loop: LoopWatch;
+    readonly loop: EventLoopMonitor;
     readonly network: TcpNetwork;
     /** HOST:PORT on which other processes connect; the port is the one actually bound. */
     readonly peerAddress: string;
@@ -38,8 +38,8 @@
     const log = new KeyValueLog({ role, name, zone }, settings.logLevel);
     const metrics = await createMetrics(settings);
     const clock = new SystemClock();
-    const loop = new LoopWatch(clock, log, metrics);
-    const handlers = new PeerHandlers(() => loop.noteWork("calls"));
+    const loop = new EventLoopMonitor(clock, log, metrics);
+    const handlers = new PeerHandlers(() => loop.countWork("calls"));
     const secret = await readFleetSecret(settings);
     const network = new TcpNetwork({ identity, secret, handlers, log, addressMap: settings.addressMap ?? {} });
     const { host, port: requestedPort } = parseAddress(settings.listen);
--- a/src/wiring.ts
+++ b/src/wiring.ts
@@ -9,18 +9,18 @@
 import { ReplicatedLog } from "./consensus/replicatedLog.js";
 import { ConfigClient } from "./daemons/configClient.js";
 import { AuditTrail } from "./daemons/controller/auditTrail.js";
+import type { ControllerContext } from "./daemons/controller/controllerContext.js";
 import { ControllerDaemon } from "./daemons/controller/controllerDaemon.js";
-import type { ControllerContext } from "./daemons/controller/fleetView.js";
-import { openLedger } from "./daemons/controller/ledgerFile.js";
+import { openLedger } from "./daemons/controller/openLedger.js";
 import { sortByZone } from "./daemons/controllerAddress.js";
-import { CallerRequests } from "./daemons/router/callerRequests.js";
 import { ClaimClient } from "./daemons/router/claimClient.js";
 import { IntentClient } from "./daemons/router/intentClient.js";
+import { JobFactory } from "./daemons/router/jobFactory.js";
 import { LedgerClient } from "./daemons/router/ledgerClient.js";
+import { RelayedUsageReporter } from "./daemons/router/relayedUsageReporter.js";
 import { RequestRunner } from "./daemons/router/requestRunner.js";
 import { RouterDaemon } from "./daemons/router/routerDaemon.js";
 import { RunClient } from "./daemons/router/runClient.js";
-import { UsageWitness } from "./daemons/router/usageWitness.js";
 import { SidecarDaemon } from "./daemons/sidecar/sidecarDaemon.js";
 import { UsageOutbox } from "./daemons/usageOutbox.js";
 import { ConfigView } from "./domain/configView.js";
@@ -107,7 +107,7 @@
     if (url === undefined) {
         return new NoMembership();
     }
-    const { HttpMembership } = await import("./adapters/http/membershipList.js");
+    const { HttpMembership } = await import("./adapters/http/httpMembership.js");
     return new HttpMembership(url);
 }
 
@@ -154,9 +154,9 @@
         runs,
         claims: new ClaimClient(view, network, clock),
         intents: new IntentClient(network, controllers),
-        witness: new UsageWitness(outbox, clock),
+        relayedUsageReporter: new RelayedUsageReporter(outbox, clock),
     });
-    const requests = new CallerRequests(view, clock, identity);
+    const requests = new JobFactory(view, clock, identity);
     const daemon: RouterDaemon = new RouterDaemon(
         requests,
         runner,
@@ -184,9 +184,9 @@
         peerAddress: base.peerAddress,
         httpAddress: http.address,
         stop: async () => {
-            await daemon.prepareStop();
+            await daemon.startShutdown();
             await http.close();
-            await daemon.finishStop();
+            await daemon.finishShutdown();
             config.stop();
             closeRoleBase(base);
         },
--- a/test/consensus/entryAges.test.ts
+++ b/test/consensus/entryAges.test.ts
@@ -3,7 +3,7 @@
  * router's previous process can have spent, so tokens already spent would be released.
  */
 import t from "tap";
-import { EntryAges } from "../../src/consensus/entryAges.js";
+import { EntryAgeCollector } from "../../src/consensus/entryAgeCollector.js";
 import { LogStorage } from "../../src/consensus/logStorage.js";
 import { ReplicaSet } from "../../src/consensus/replicaSet.js";
 import { NoLog } from "../../src/ports/log.js";
@@ -26,7 +26,7 @@
         const others = NAMES.filter(other => other !== name).map(other => ({ name: other, address: other }));
         const replicaSet = new ReplicaSet(storage, { name, others });
         const network = new MemoryNetwork(name, processes, faults, () => 0.5);
-        const ages = new EntryAges(storage, replicaSet, network, new NoLog(), () => name === "a");
+        const ages = new EntryAgeCollector(storage, replicaSet, network, new NoLog(), () => name === "a");
         const handlers = new PeerHandlers();
         ages.addHandlers(handlers);
         processes.set(name, handlers);
@@ -40,7 +40,7 @@
     const { replicas: [leader], faults } = await createReplicas();
     faults.partitioned.add("b").add("c");
     leader!.clock.suspend(SUSPENDED_MS);
-    const { measuredMs } = await leader!.ages.gather(1);
+    const { measuredMs } = await leader!.ages.collectAge(1);
     t.ok(measuredMs! >= 1_000 + SUSPENDED_MS, `${measuredMs} ms`);
 });
 
@@ -49,6 +49,6 @@
     leader!.clock.suspend(SUSPENDED_MS);
     leader!.clock.stepWall(-SUSPENDED_MS);
     others.forEach(({ clock }) => clock.advance(SUSPENDED_MS));
-    const { measuredMs } = await leader!.ages.gather(1);
+    const { measuredMs } = await leader!.ages.collectAge(1);
     t.ok(measuredMs! >= 1_000 + SUSPENDED_MS, `${measuredMs} ms`);
 });
--- a/test/consensus/replicaSet.test.ts
+++ b/test/consensus/replicaSet.test.ts
@@ -5,7 +5,7 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import t from "tap";
 import { LogStorage } from "../../src/consensus/logStorage.js";
-import { ReplicaSetKeeper } from "../../src/consensus/replicaSetKeeper.js";
+import { ReplicaSetReconciler } from "../../src/consensus/replicaSetReconciler.js";
 import { ReplicatedLog } from "../../src/consensus/replicatedLog.js";
 import { SystemClock } from "../../src/ports/clock.js";
 import { NoLog } from "../../src/ports/log.js";
@@ -49,7 +49,7 @@
                 others: isFounder
                     ? INITIAL_REPLICAS.filter(other => other !== name).map(other => ({ name: other, address: other }))
                     : [],
-                isFounder,
+                isInitialReplica: isFounder,
                 isFirstStart: isFounder,
                 electionTimeoutMs: 60,
                 heartbeatMs: 12,
@@ -58,20 +58,20 @@
                 random: this.random,
             },
         );
-        const keeper = new ReplicaSetKeeper(replica, network, clock, new NoLog(), {
+        const reconciler = new ReplicaSetReconciler(replica, network, clock, new NoLog(), {
             self: { name, address: name },
             periodMs: 25,
             removeAfterMs: REMOVE_AFTER_MS,
-            minimumLive: 2 * TOLERATED_FAILURES + 1,
+            minLiveVoters: 2 * TOLERATED_FAILURES + 1,
             callTimeoutMs: 60,
         });
         replica.addHandlers(handlers);
-        keeper.addHandlers(handlers);
+        reconciler.addHandlers(handlers);
         this.processes.set(name, handlers);
         this.replicas.set(name, replica);
         replica.start();
-        void keeper.runKeeping();
-        void keeper.runJoining(() => INITIAL_REPLICAS);
+        void reconciler.runReconciliation();
+        void reconciler.runJoinRequests(() => INITIAL_REPLICAS);
     }
 
     async crash(name: string): Promise<void> {
--- a/test/daemons/bundleFetch.test.ts
+++ b/test/daemons/bundleFetch.test.ts
@@ -21,12 +21,12 @@
 };
 const OPTIONS: ControllerFeedsOptions = {
     address: "r1",
-    followPeriodMs: 50,
+    pollIntervalMs: 50,
     callTimeoutMs: 1_000,
-    redialMs: 50,
-    upstreamUnheardMs: 1_800,
-    forgetControllerMs: 20_000,
-    unconfirmedReadyMs: 3_000,
+    reconnectDelayMs: 50,
+    upstreamStaleMs: 1_800,
+    controllerRetentionMs: 20_000,
+    readinessTimeoutMs: 3_000,
 };
 
 interface FetchCall {
@@ -79,14 +79,14 @@
 
 void t.test("a bundle announced by five controllers is fetched from one of them", async t => {
     const { network, feeds } = startFeeds(t);
-    CONTROLLERS.forEach(controller => void feeds.fetchBundle(controller, 7));
+    CONTROLLERS.forEach(controller => void feeds.handleBundleNotice(controller, 7));
     await settlePromises();
     t.same(network.calledAddresses, ["c1"]);
 });
 
 void t.test("if a fetch fails, the next controller that announced the bundle is tried", async t => {
     const { network, feeds } = startFeeds(t);
-    CONTROLLERS.forEach(controller => void feeds.fetchBundle(controller, 7));
+    CONTROLLERS.forEach(controller => void feeds.handleBundleNotice(controller, 7));
     network.rejectNext();
     await settlePromises();
     t.same(network.calledAddresses, ["c1", "c2"]);
@@ -94,8 +94,8 @@
 
 void t.test("revisions superseded during a fetch are skipped", async t => {
     const { network, feeds } = startFeeds(t);
-    void feeds.fetchBundle("c1", 1);
-    [2, 3, 4].forEach(revision => void feeds.fetchBundle("c2", revision));
+    void feeds.handleBundleNotice("c1", 1);
+    [2, 3, 4].forEach(revision => void feeds.handleBundleNotice("c2", revision));
     await network.answerNext(await encodeBundle({ revision: 1, text: "{1}" }, undefined));
     await waitUntil("the next fetch", () => network.calledAddresses.length === 2);
     await network.answerNext(await encodeBundle({ revision: 4, text: "{4}" }, undefined));
@@ -105,13 +105,13 @@
 
 void t.test("the full bundle is requested after a delta cannot be applied", async t => {
     const { network, feeds } = startFeeds(t);
-    void feeds.fetchBundle("c1", 1);
+    void feeds.handleBundleNotice("c1", 1);
     await network.answerNext(await encodeBundle({ revision: 1, text: "{1}" }, undefined));
     const change = await encodeBundle({ revision: 2, text: "{1}{2}" }, { revision: 1, text: "{1}" });
-    void feeds.fetchBundle("c1", 2);
+    void feeds.handleBundleNotice("c1", 2);
     await waitUntil("the fetch of the delta", () => network.calledAddresses.length === 2);
     await network.answerNext({ ...change, length: change.length + 1 });
-    void feeds.fetchBundle("c1", 2);
+    void feeds.handleBundleNotice("c1", 2);
     await waitUntil("the fetch of the full bundle", () => network.calledAddresses.length === 3);
     t.same(network.fetches.map(fetch => fetch.held), [undefined, 1, undefined]);
 });
@@ -119,7 +119,7 @@
 void t.test("the fetch timeout doubles after each failure, up to a limit", async t => {
     const { network, feeds } = startFeeds(t);
     for (let i = 0; i < 6; i++) {
-        void feeds.fetchBundle("c1", 1);
+        void feeds.handleBundleNotice("c1", 1);
         network.rejectNext();
         await settlePromises();
     }
--- a/test/daemons/loopWatch.test.ts
+++ b/test/daemons/eventLoopMonitor.test.ts
@@ -1,11 +1,11 @@
 /** Tests that event loop lag is logged at most once a second, and that a suspension of the box is detected. */
 import t from "tap";
-import { LOOP_TICK_INTERVAL_MS, LoopWatch } from "../../src/daemons/loopWatch.js";
+import { EventLoopMonitor, LOOP_TICK_INTERVAL_MS } from "../../src/daemons/eventLoopMonitor.js";
 import { NoMetrics } from "../../src/ports/metrics.js";
 import { FakeClock, KeptLog } from "../tools/fakes.js";
 
 /** Ticks without lag until `untilMs`. */
-function tickOnTime(watch: LoopWatch, clock: FakeClock, untilMs: number): void {
+function tickOnTime(watch: EventLoopMonitor, clock: FakeClock, untilMs: number): void {
     while (clock.getMonotonicMs() < untilMs) {
         clock.advance(LOOP_TICK_INTERVAL_MS);
         watch.recordTick(clock.getMonotonicMs());
@@ -15,14 +15,14 @@
 void t.test("lag is logged once per period with the work done; nothing is logged without lag", t => {
     const clock = new FakeClock();
     const log = new KeptLog();
-    const watch = new LoopWatch(clock, log, new NoMetrics());
+    const watch = new EventLoopMonitor(clock, log, new NoMetrics());
     watch.start();
     t.teardown(() => watch.stop());
     tickOnTime(watch, clock, 5_000);
     t.same(log.warnings, []);
     for (const lagMs of [400, 300, 0, 250]) {
-        watch.noteWork("requests");
-        watch.noteWork("bundles");
+        watch.countWork("requests");
+        watch.countWork("bundles");
         clock.advance(LOOP_TICK_INTERVAL_MS + lagMs);
         watch.recordTick(clock.getMonotonicMs());
     }
@@ -44,11 +44,11 @@
 void t.test("a suspension is reported once with its duration; small clock steps are not reported", t => {
     const clock = new FakeClock();
     const log = new KeptLog();
-    const watch = new LoopWatch(clock, log, new NoMetrics());
+    const watch = new EventLoopMonitor(clock, log, new NoMetrics());
     watch.start();
     t.teardown(() => watch.stop());
     let reportedCount = 0;
-    watch.onTimeMissed(() => reportedCount += 1);
+    watch.onSuspension(() => reportedCount += 1);
     tickOnTime(watch, clock, 2_000);
     clock.stepWall(100);
     tickOnTime(watch, clock, 3_000);
--- a/test/daemons/ledgerRefill.test.ts
+++ b/test/daemons/ledgerRefill.test.ts
@@ -3,7 +3,7 @@
  * when returned tokens are allotted to another ledger, and when an allotment is ignored as a duplicate.
  */
 import t from "tap";
-import type { ControllerContext } from "../../src/daemons/controller/fleetView.js";
+import type { ControllerContext } from "../../src/daemons/controller/controllerContext.js";
 import { LedgerService } from "../../src/daemons/controller/ledgerService.js";
 import { type BudgetResult, BudgetStore } from "../../src/domain/budgetStore.js";
 import type { Command } from "../../src/domain/commands.js";
--- a/test/daemons/placementSpread.test.ts
+++ b/test/daemons/placementSpread.test.ts
@@ -73,7 +73,7 @@
             const load = {
                 recordOther: (upstream: UpstreamIncarnation) => received.push(upstream.id),
             } as unknown as UpstreamLoad;
-            const options = { gatherMs: 1, relayGatherMs: 1, leastTokens: 1 };
+            const options = { batchDelayMs: 1, relayBatchDelayMs: 1, minTokens: 1 };
             const links = new RouterLinks(new FleetNetwork(this), NO_LOG);
             const sharer = new PlacementSharer(self, load, links, new FakeClock(), NO_LOG, options);
             const handlers = new PeerHandlers();
--- a/test/daemons/prepaidBorrower.test.ts
+++ b/test/daemons/prepaidBorrower.test.ts
@@ -78,10 +78,10 @@
     purse.setHoldings(() => ({ isHolder: false, holders: 1 }));
     const links = new RouterLinks(network, NO_LOG);
     const options = {
-        maxAsked: 6,
+        maxLenders: 6,
         callTimeoutMs,
-        lateAnswerMs: BEYOND_TEST_MS,
-        avoidMs: BEYOND_TEST_MS,
+        lateResponseTimeoutMs: BEYOND_TEST_MS,
+        backoffMs: BEYOND_TEST_MS,
         returnPeriodMs: BEYOND_TEST_MS,
     };
     const borrower = new PrepaidBorrower(purse, holders, network, links, NO_LOG, options);
--- a/test/daemons/prepaidReporter.test.ts
+++ b/test/daemons/prepaidReporter.test.ts
@@ -49,20 +49,20 @@
     return { type: "prepaid", taken: true, awaitsConfirmation: false, routers: 1, accounts };
 }
 
-const OPTIONS = { periodMs: BEYOND_TEST_MS, urgentPauseMs: 1, callTimeoutMs: BEYOND_TEST_MS };
+const OPTIONS = { periodMs: BEYOND_TEST_MS, minPeriodMs: 1, callTimeoutMs: BEYOND_TEST_MS };
 
 void t.test("a request that starts waiting during a report is included in the next one, sent immediately", async t => {
     const network = new ManualNetwork();
     const purse = new LocalTokenBudget("r1", "i1", testTokenBudgetOptions);
     purse.setLimits([{ account: "a", tokens: PREPAID_TOKENS }]);
-    const options = { ...OPTIONS, closingTimeoutMs: 500 };
+    const options = { ...OPTIONS, shutdownTimeoutMs: 500 };
     const reporter = new PrepaidReporter(purse, network, new SystemClock(), NO_LOG, () => ["c1"], options);
     const running = reporter.run();
     await waitUntil("the first report", () => network.reports.length === 1);
 
     purse.addWaiting("a", 5_000);
     let isGranted = false;
-    void reporter.waitGrant(BEYOND_TEST_MS).then(() => isGranted = true);
+    void reporter.waitForAnswer(BEYOND_TEST_MS).then(() => isGranted = true);
     network.answerNext();
     await settlePromises();
     t.notOk(isGranted, "the report in progress does not include the request");
@@ -72,7 +72,7 @@
     network.answerNext();
     await waitUntil("the grant", () => isGranted);
 
-    reporter.askReport();
+    reporter.requestReport();
     await waitUntil("another report", () => network.reports.length === 3);
     const stopped = reporter.stop();
     network.answerNext();
@@ -84,7 +84,7 @@
     const network = new ManualNetwork();
     const purse = new LocalTokenBudget("r1", "i1", testTokenBudgetOptions);
     purse.setLimits([{ account: "a", tokens: PREPAID_TOKENS }]);
-    const options = { ...OPTIONS, closingTimeoutMs: 20 };
+    const options = { ...OPTIONS, shutdownTimeoutMs: 20 };
     const reporter = new PrepaidReporter(purse, network, new SystemClock(), NO_LOG, () => ["c1", "c2"], options);
     await reporter.stop();
     t.equal(network.reports.length, 1);
--- a/test/daemons/upstreamEndReporter.test.ts
+++ b/test/daemons/upstreamEndReporter.test.ts
@@ -5,7 +5,7 @@
 import { createRefusal, RefusalError } from "../../src/domain/resultCodes.js";
 import { SystemClock } from "../../src/ports/clock.js";
 import { type Peer, type PeerMethod, PeerNetwork } from "../../src/ports/peer.js";
-import { type EndReport, MOST_REPORTED_ENDS } from "../../src/protocol/fleetMethods.js";
+import { type EndReport, MAX_REPORTED_ENDS } from "../../src/protocol/fleetMethods.js";
 import { KeptLog } from "../tools/fakes.js";
 import { waitUntil } from "../tools/waiting.js";
 
@@ -38,16 +38,16 @@
     const reporter = new UpstreamEndReporter(network, new SystemClock(), log, () => CONTROLLERS, options);
     const requests = [{ fingerprint: FINGERPRINT, hasBegun: true }];
     void reporter.run();
-    for (let i = 0; i < MOST_REPORTED_ENDS + 1; i++) {
+    for (let i = 0; i < MAX_REPORTED_ENDS + 1; i++) {
         reporter.addEnd({ life: `u@${i}`, interruptedAt: performance.now(), requests });
     }
     reporter.addClearedRequest(FINGERPRINT);
     reporter.addClearedRequest(FINGERPRINT);
-    t.match(log.warnings, [{ event: "upstream_end_not_reported", life: `u@${MOST_REPORTED_ENDS}` }]);
+    t.match(log.warnings, [{ event: "upstream_end_not_reported", life: `u@${MAX_REPORTED_ENDS}` }]);
     await waitUntil("both controllers were called again", () => network.callCount > 2 * CONTROLLERS.length);
     network.isAccepting = true;
     await waitUntil("the report was accepted", () => network.acceptedReports.length > 0);
-    t.equal(network.acceptedReports[0]!.ends.length, MOST_REPORTED_ENDS);
+    t.equal(network.acceptedReports[0]!.ends.length, MAX_REPORTED_ENDS);
     t.match(network.acceptedReports[0]!.ends[0], { life: "u@0", requests });
     t.same(network.acceptedReports[0]!.cleared, [FINGERPRINT]);
     reporter.addEnd({ life: "later", interruptedAt: performance.now(), requests });
--- a/test/daemons/upstreamEndWatch.test.ts
+++ b/test/daemons/upstreamEndWatch.test.ts
@@ -1,7 +1,7 @@
 /** Guards against treating lost connections or a planned stop as an upstream crash. */
 import { createServer } from "node:net";
 import t from "tap";
-import { isListening } from "../../src/adapters/listeningCheck.js";
+import { isListening } from "../../src/adapters/isListening.js";
 import { type EndedUpstream, UpstreamEndWatch } from "../../src/daemons/directRouter/upstreamEndWatch.js";
 import type { InterruptedRequest } from "../../src/domain/upstreamEndCommands.js";
 import type { UpstreamRegistration } from "../../src/domain/upstreamRegistry.js";
@@ -38,8 +38,8 @@
     override send(): UpstreamExchange {
         throw new Error("unexpected send");
     }
-    override forgetExcept(): void {}
-    override forget(): void {}
+    override drainExcept(): void {}
+    override drain(): void {}
     override close(): void {}
 }
 
--- a/test/daemons/upstreamTurns.test.ts
+++ b/test/daemons/upstreamPolls.test.ts
@@ -85,12 +85,12 @@
     };
     const feeds = new ControllerFeeds(network, clock, NO_LOG, listener, {
         address: "r1",
-        followPeriodMs: FOLLOW_PERIOD_MS,
+        pollIntervalMs: FOLLOW_PERIOD_MS,
         callTimeoutMs: FOLLOW_PERIOD_MS,
-        redialMs: 200,
-        upstreamUnheardMs: 1_800,
-        forgetControllerMs: 20_000,
-        unconfirmedReadyMs: 3_000,
+        reconnectDelayMs: 200,
+        upstreamStaleMs: 1_800,
+        controllerRetentionMs: 20_000,
+        readinessTimeoutMs: 3_000,
     });
     feeds.setSeeds(CONTROLLERS);
     return { clock, network, feeds };
--- a/test/daemons/upstreamNews.test.ts
+++ b/test/daemons/upstreamUpdates.test.ts
@@ -3,7 +3,7 @@
  * of upstreams or routers, and against routers that diverge from the controller.
  */
 import t from "tap";
-import { SubscribedRouters } from "../../src/daemons/bundleController/followers.js";
+import { SubscribedRouters } from "../../src/daemons/bundleController/subscribedRouters.js";
 import { UpstreamUpdateTracker } from "../../src/daemons/directRouter/upstreamUpdateTracker.js";
 import { UpstreamChanges, type UpstreamUpdate } from "../../src/domain/upstreamChanges.js";
 import { type UpstreamRegistration, UpstreamRegistry } from "../../src/domain/upstreamRegistry.js";
--- a/test/domain/billReconciler.test.ts
+++ b/test/domain/billReconciler.test.ts
@@ -1,7 +1,7 @@
 /** Guards against billing a request twice that ran in two zones. */
 import t from "tap";
 import { BillReconciler } from "../../src/daemons/controller/billReconciler.js";
-import type { ControllerContext } from "../../src/daemons/controller/fleetView.js";
+import type { ControllerContext } from "../../src/daemons/controller/controllerContext.js";
 import { createUsageRecord } from "../../src/domain/billStore.js";
 import { Ledger, ShareSource } from "../../src/domain/ledger.js";
 import { FakeClock, FakeJournal } from "../tools/fakes.js";
--- a/test/domain/grantCloser.test.ts
+++ b/test/domain/grantCloser.test.ts
@@ -1,6 +1,6 @@
 /** Guards against freeing the tokens of an expired grant while usage under it may still be unreported. */
 import t from "tap";
-import type { ControllerContext } from "../../src/daemons/controller/fleetView.js";
+import type { ControllerContext } from "../../src/daemons/controller/controllerContext.js";
 import { GrantCloser } from "../../src/daemons/controller/grantCloser.js";
 import { Ledger, ShareSource } from "../../src/domain/ledger.js";
 import { NoLog } from "../../src/ports/log.js";
--- a/test/domain/topUpRecovery.test.ts
+++ b/test/domain/topUpRecovery.test.ts
@@ -1,6 +1,6 @@
 /** Guards against crediting a top-up twice that is resent after its home controller lost its disk. */
 import t from "tap";
-import type { ControllerContext } from "../../src/daemons/controller/fleetView.js";
+import type { ControllerContext } from "../../src/daemons/controller/controllerContext.js";
 import { TopUpService } from "../../src/daemons/controller/topUpService.js";
 import { BudgetStore } from "../../src/domain/budgetStore.js";
 import type { Command } from "../../src/domain/commands.js";
--- a/test/fleet/badInput.test.ts
+++ b/test/fleet/badInput.test.ts
@@ -81,7 +81,7 @@
 
 void t.test("a peer that sends garbage, an unknown peer, and one with half a line are closed", async t => {
     const isUp = async (process: FleetProcess): Promise<boolean> =>
-        process.isRunning() && (await askChat(fleet.getRouters()[0]!, key)).whole;
+        process.isRunning() && (await askChat(fleet.getRouters()[0]!, key)).isComplete;
     for (const process of [...fleet.getSidecars(), ...fleet.getControllers(), ...fleet.getRouters()]) {
         await sendRaw(process.peerPort, "garbage\n");
         const answer = await sendRaw(
--- a/test/fleet/lostDisk.test.ts
+++ b/test/fleet/lostDisk.test.ts
@@ -33,7 +33,7 @@
     const load = fleet.getRouters().map(async router => {
         while (!stopped) {
             const result = await askChat(router, key);
-            if (result.whole) {
+            if (result.isComplete) {
                 whole += 1;
             }
             else {
--- a/test/fleet/overload.test.ts
+++ b/test/fleet/overload.test.ts
@@ -61,8 +61,8 @@
     const [longResults, lookupResults] = await Promise.all([Promise.all(longs), Promise.all(lookups)]);
     const all = [...longResults, ...lookupResults];
     const refused = all.filter(entry => entry.result.error !== undefined);
-    const wholeLongs = longResults.filter(entry => entry.result.whole);
-    const wholeLookups = lookupResults.filter(entry => entry.result.whole);
+    const wholeLongs = longResults.filter(entry => entry.result.isComplete);
+    const wholeLookups = lookupResults.filter(entry => entry.result.isComplete);
     t.comment(`whole: ${wholeLongs.length} long, ${wholeLookups.length} lookups; refused ${refused.length}`);
     t.ok(refused.length > 0, "not everything fits");
     t.ok(
@@ -85,7 +85,7 @@
         await Promise.all(Array.from({ length: callers }, async () => {
             while (performance.now() < until) {
                 const { result } = await ask(true, 1_500);
-                tokens += result.whole ? result.usage!.completion_tokens : 0;
+                tokens += result.isComplete ? result.usage!.completion_tokens : 0;
             }
         }));
         return tokens;
--- a/test/fleet/requests.test.ts
+++ b/test/fleet/requests.test.ts
@@ -47,10 +47,10 @@
     const spent = await getSpent();
     const { result } = await startAndWait(first!, "router-dies");
     await first!.kill();
-    t.notOk((await result).whole);
+    t.notOk((await result).isComplete);
     const retried = await askChat(second!, key, { content: CONTENT, idempotencyKey: "router-dies" });
     t.equal(retried.text, getExpectedAnswer(CONTENT));
-    t.ok(retried.whole);
+    t.ok(retried.isComplete);
     const runs = await getRunCounts(fleet.getStandIns("wetterwort"));
     t.equal(runs.get("member/router-dies"), 1);
     await waitUntil("the bill", async () => await getSpent() === spent + getExpectedBill(CONTENT));
@@ -107,7 +107,7 @@
     await fleet.get(`sidecar-${running.name}`).kill();
     const answer = await result;
     t.equal(answer.text, getExpectedAnswer(CONTENT));
-    t.ok(answer.whole);
+    t.ok(answer.isComplete);
     await fleet.get(`sidecar-${running.name}`).start();
     await fleet.waitInForce();
 });
--- a/test/fleet/split.test.ts
+++ b/test/fleet/split.test.ts
@@ -30,7 +30,7 @@
     while (refusals < 4) {
         const batch = await Promise.all(Array.from({ length: 6 }, () => askChat(router, key)));
         results.push(...batch);
-        refusals = batch.some(result => result.whole) ? 0 : refusals + 1;
+        refusals = batch.some(result => result.isComplete) ? 0 : refusals + 1;
         if (refusals > 0) {
             // A caller that is refused is told to come back later; this one comes sooner than that.
             await wait(RETRY_PAUSE_MS);
@@ -40,7 +40,7 @@
 }
 
 function sumBills(results: readonly CallResult[]): number {
-    return results.filter(result => result.whole).length * getExpectedBill();
+    return results.filter(result => result.isComplete).length * getExpectedBill();
 }
 
 async function getRefusalCode(attempt: Promise<unknown>): Promise<{ code: string; ran: string; }> {
@@ -72,7 +72,7 @@
     const before = sumBills(cutOffBefore) + sumBills(othersBefore);
     t.ok(before <= TOP_UP, "together never past the budget");
     t.ok(before > TOP_UP - 2 * LEFT_OVER, `and close to it: ${before} of ${TOP_UP}`);
-    const refused = [...cutOffBefore, ...othersBefore].filter(result => !result.whole);
+    const refused = [...cutOffBefore, ...othersBefore].filter(result => !result.isComplete);
     const unexpected = refused.filter(result =>
         !/^budget(Exhausted|Unreachable)$/.test(result.error?.type ?? "") || result.error?.ran !== "no"
         || result.retryAfter === undefined
--- a/test/fleet/stops.test.ts
+++ b/test/fleet/stops.test.ts
@@ -64,7 +64,7 @@
 }
 
 function getCut(results: readonly CallResult[]): string[] {
-    return results.filter(result => !result.whole || result.text !== getExpectedAnswer(CONTENT)).map(result =>
+    return results.filter(result => !result.isComplete || result.text !== getExpectedAnswer(CONTENT)).map(result =>
         `${result.status} ${result.error?.type ?? "lost"}`
     );
 }
--- a/test/fleet/wholePath.test.ts
+++ b/test/fleet/wholePath.test.ts
@@ -58,7 +58,7 @@
     t.equal(call.status, 200);
     t.match(call.body, { service: /^kachelamt-/, path: "/tiles/12/7" });
     const before = await askChat(fleet.getRouters()[0]!, key);
-    t.ok(before.whole);
+    t.ok(before.isComplete);
     const expected = getExpectedBill() * 2 + getExpectedBill(undefined, 5) + 3;
     await waitUntil("the bills", async () => (await fleet.getStatus()).budgets["vorka-budget"]?.spent === expected);
     const budget = (await fleet.getStatus()).budgets["vorka-budget"]!;
--- a/test/platform/heldRequests.test.ts
+++ b/test/platform/eventLoopBlocking.test.ts
@@ -70,7 +70,7 @@
     const fetcher = new BundleFetcher(network, new NoLog(), listener, 1_000);
     const startedAt = performance.now();
     for (let i = 0; i < REVISIONS; i++) {
-        await fetcher.fetch("c1", network.revision + 1);
+        await fetcher.fetchAnnouncement("c1", network.revision + 1);
     }
     const elapsedMs = performance.now() - startedAt;
     t.ok(blockedMs < elapsedMs / 3, `blocked for ${blockedMs} of ${elapsedMs} ms`);
--- a/test/tools/caller.ts
+++ b/test/tools/caller.ts
@@ -1,10 +1,10 @@
 /** A caller for tests: asks a router and takes the answer apart. */
 import { request } from "undici";
 import { countPromptTokens, getStandInAnswer } from "../../src/daemons/standIn/standInAnswers.js";
-import { askChatAt, type CallResult } from "../../src/replay/chatCaller.js";
+import { type ChatResult, sendChatRequest } from "../../src/replay/chatClient.js";
 import type { FleetProcess } from "./fleet.js";
 
-export type { CallResult };
+export type { ChatResult as CallResult };
 
 export interface ChatOptions {
     readonly content?: string;
@@ -20,8 +20,8 @@
 const DEFAULT_CONTENT = "a briefing, please out=20";
 
 /** Asks for a chat answer. Never rejects: a lost connection is an answer that is not whole. */
-export function askChat(router: FleetProcess, key: string, options: ChatOptions = {}): Promise<CallResult> {
-    return askChatAt({
+export function askChat(router: FleetProcess, key: string, options: ChatOptions = {}): Promise<ChatResult> {
+    return sendChatRequest({
         url: router.getUrl(),
         key,
         model: options.model ?? "wetterwort",
--- a/test/tools/escrowSimulation.ts
+++ b/test/tools/escrowSimulation.ts
@@ -2,7 +2,7 @@
  * Simulates controllers, routers and sidecars around the production ledger, grant and budget code, with lost, duplicated
  * and delayed messages, crashes and lost disks. Counts the tokens consumed by runs independently of that code.
  */
-import type { ControllerContext } from "../../src/daemons/controller/fleetView.js";
+import type { ControllerContext } from "../../src/daemons/controller/controllerContext.js";
 import { GrantCloser } from "../../src/daemons/controller/grantCloser.js";
 import type { UsageRecord } from "../../src/domain/billStore.js";
 import { BudgetStore, isBudgetConserved } from "../../src/domain/budgetStore.js";
