--- a/test/fleet/overload.test.ts
+++ b/test/fleet/overload.test.ts
@@ -1,6 +1,6 @@
 /** Twice the capacity: long briefings first, lookups never left waiting, refusals at once and with a time to come back. */
 import t from "tap";
-import { askChat, type CallResult } from "../tools/caller.js";
+import { askChat, type ChatResult } from "../tools/caller.js";
 import { Fleet } from "../tools/fleet.js";
 
 const SLOTS = 4;
@@ -30,7 +30,7 @@
 t.teardown(() => fleet.stop());
 
 interface Timed {
-    readonly result: CallResult;
+    readonly result: ChatResult;
     readonly ms: number;
 }
 
@@ -45,7 +45,7 @@
 }
 
 /** By the header, or by the error that ends a stream that had begun. */
-function isToldWhen(result: CallResult): boolean {
+function isToldWhen(result: ChatResult): boolean {
     return result.retryAfter !== undefined || result.error?.retry_after_ms !== undefined;
 }
 
--- a/test/fleet/split.test.ts
+++ b/test/fleet/split.test.ts
@@ -1,7 +1,7 @@
 /** A long split with draws and top-ups on both sides: nothing past the budget, nothing credited twice. */
 import t from "tap";
 import { getRefusal } from "../../src/domain/resultCodes.js";
-import { askChat, type CallResult, getExpectedBill } from "../tools/caller.js";
+import { askChat, type ChatResult, getExpectedBill } from "../tools/caller.js";
 import { Fleet, type FleetProcess } from "../tools/fleet.js";
 import { wait, waitUntil } from "../tools/waiting.js";
 
@@ -24,8 +24,8 @@
 t.teardown(() => fleet.stop());
 
 /** Asks until the budget is refused several times in a row; answers every result. */
-async function spendAll(router: FleetProcess): Promise<CallResult[]> {
-    const results: CallResult[] = [];
+async function spendAll(router: FleetProcess): Promise<ChatResult[]> {
+    const results: ChatResult[] = [];
     let refusals = 0;
     while (refusals < 4) {
         const batch = await Promise.all(Array.from({ length: 6 }, () => askChat(router, key)));
@@ -39,7 +39,7 @@
     return results;
 }
 
-function sumBills(results: readonly CallResult[]): number {
+function sumBills(results: readonly ChatResult[]): number {
     return results.filter(result => result.isComplete).length * getExpectedBill();
 }
 
--- a/test/fleet/stops.test.ts
+++ b/test/fleet/stops.test.ts
@@ -2,7 +2,7 @@
 import t from "tap";
 import { request } from "undici";
 import { StandInPlatform } from "../../src/daemons/standIn/standInPlatform.js";
-import { askChat, type CallResult, getExpectedAnswer, getRunCounts } from "../tools/caller.js";
+import { askChat, type ChatResult, getExpectedAnswer, getRunCounts } from "../tools/caller.js";
 import { Fleet } from "../tools/fleet.js";
 import { wait, waitUntil } from "../tools/waiting.js";
 
@@ -26,9 +26,9 @@
 });
 
 /** Keeps asking routers in turn, those the balancer would choose, until told to stop. */
-function startLoad(callers: number): { stop: () => Promise<CallResult[]>; getCount: () => number; } {
+function startLoad(callers: number): { stop: () => Promise<ChatResult[]>; getCount: () => number; } {
     let stopped = false;
-    const results: CallResult[] = [];
+    const results: ChatResult[] = [];
     const isReady = async (router: { getUrl(): string; }): Promise<boolean> => {
         try {
             const response = await request(`${router.getUrl()}/readyz`);
@@ -63,7 +63,7 @@
     return [...counts.values()].reduce((sum, count) => sum + count, 0);
 }
 
-function getCut(results: readonly CallResult[]): string[] {
+function getCut(results: readonly ChatResult[]): string[] {
     return results.filter(result => !result.isComplete || result.text !== getExpectedAnswer(CONTENT)).map(result =>
         `${result.status} ${result.error?.type ?? "lost"}`
     );
--- a/test/tools/caller.ts
+++ b/test/tools/caller.ts
@@ -4,7 +4,7 @@
 import { type ChatResult, sendChatRequest } from "../../src/replay/chatClient.js";
 import type { FleetProcess } from "./fleet.js";
 
-export type { ChatResult as CallResult };
+export type { ChatResult };
 
 export interface ChatOptions {
     readonly content?: string;
