--- a/bench/capacityBench.ts
+++ b/bench/capacityBench.ts
@@ -162,10 +162,10 @@
     return view;
 });
 measureMemory("budget_with_one_share_in_log", 10_000, count => {
-    const book = new BudgetStore();
-    book.applyRegisterLedger({ type: "registerLedger", controller: "c", zone: "z", ledger: "c#0" });
+    const budgetStore = new BudgetStore();
+    budgetStore.applyRegisterLedger({ type: "registerLedger", controller: "c", zone: "z", ledger: "c#0" });
     for (let i = 0; i < count; i++) {
-        book.applyCreditTopUp({
+        budgetStore.applyCreditTopUp({
             type: "creditTopUp",
             operationId: `t-${i}`,
             operator: "o",
@@ -173,23 +173,23 @@
             tokens: 1_000,
             home: "c",
         });
-        book.applyAllot({ type: "allot", ledger: "c#0", budget: `budget-${i}`, sequence: 1, tokens: 500 });
+        budgetStore.applyAllot({ type: "allot", ledger: "c#0", budget: `budget-${i}`, sequence: 1, tokens: 500 });
     }
-    return book;
+    return budgetStore;
 });
 measureMemory("bill_kept", 10_000, count => {
-    const book = new BillStore();
+    const billStore = new BillStore();
     for (let i = 0; i < count; i++) {
-        book.applyUsage(usage(i));
+        billStore.applyUsage(usage(i));
     }
-    return book;
+    return billStore;
 });
 measureMemory("open_grant_at_router", 5_000, count => {
-    const book = new GrantStore("router", new SystemClock(), () => undefined);
+    const grantStore = new GrantStore("router", new SystemClock(), () => undefined);
     for (let i = 0; i < count; i++) {
-        book.openGrant(`budget-${i}`, "controller#0", "controller", 1_000);
+        grantStore.openGrant(`budget-${i}`, "controller#0", "controller", 1_000);
     }
-    return book;
+    return grantStore;
 });
 measureMemory("request_index_claim", 20_000, count => {
     const index = new RequestIndex(1e9);
@@ -251,11 +251,11 @@
     }
 });
 await measureCpu("reserve_and_settle_at_router", 20_000, count => {
-    const book = new GrantStore("router", new SystemClock(), () => undefined);
-    const grant = book.openGrant("budget", "controller#0", "controller", 1e9);
+    const grantStore = new GrantStore("router", new SystemClock(), () => undefined);
+    const grant = grantStore.openGrant("budget", "controller#0", "controller", 1e9);
     grant.granted = 1e12;
     for (let i = 0; i < count; i++) {
-        book.tryReserve("budget", 400)!.settle(300);
+        grantStore.tryReserve("budget", 400)!.settle(300);
     }
 });
 await measureCpu("peer_message_of_one_token", 20_000, count => {
--- a/src/bundleWiring.ts
+++ b/src/bundleWiring.ts
@@ -60,7 +60,7 @@
 export interface DirectRouterSettings extends BundleRoleSettings {
     readonly router: DirectRouterOptions;
     readonly load: UpstreamLoadOptions;
-    readonly purse: LocalTokenBudgetOptions;
+    readonly tokenBudgetOptions: LocalTokenBudgetOptions;
     readonly reporter: PrepaidReporterOptions;
     readonly borrower: PrepaidBorrowerOptions;
     readonly sharer: PlacementSharerOptions;
@@ -156,10 +156,10 @@
     const self = { address: settings.router.address, zone: settings.zone };
     const holders = new TokenHolders(self);
     const routerLinks = new RouterLinks(network, log);
-    const purse = new LocalTokenBudget(settings.name, identity.incarnation, settings.purse);
+    const tokenBudget = new LocalTokenBudget(settings.name, identity.incarnation, settings.tokenBudgetOptions);
     const load = new UpstreamLoad(settings.zone, settings.load);
     const reporter = new PrepaidReporter(
-        purse,
+        tokenBudget,
         network,
         clock,
         log,
@@ -174,13 +174,13 @@
     const daemon: DirectRouterDaemon = new DirectRouterDaemon(
         settings.router,
         load,
-        purse,
+        tokenBudget,
         settings.upstreams,
         log,
         metrics,
         settings.decoder,
         reporter,
-        new PrepaidBorrower(purse, holders, network, routerLinks, log, settings.borrower),
+        new PrepaidBorrower(tokenBudget, holders, network, routerLinks, log, settings.borrower),
         holders,
         new PlacementSharer(self, load, routerLinks, clock, log, settings.sharer),
         new RequestQuarantine(endWatch, endReporter, clock),
--- a/src/daemons/bundleController/upstreamEndService.ts
+++ b/src/daemons/bundleController/upstreamEndService.ts
@@ -86,13 +86,13 @@
     /** Returns the suspects for routers. Expiry counts from when this process first saw an end, so it is never too early. */
     createSuspectList(): SuspectList {
         const now = this.clock.getMonotonicMs();
-        const book = this.replica.state.upstreamEnds;
-        const suspects = book.getSuspects().map(suspect => ({
+        const store = this.replica.state.upstreamEnds;
+        const suspects = store.getSuspects().map(suspect => ({
             fingerprint: suspect.fingerprint,
             isCulprit: suspect.isCulprit,
             leftMs: this.computeLeftMs(suspect, now),
         }));
-        return { index: book.getLastIndex(), suspects };
+        return { index: store.getLastIndex(), suspects };
     }
 
     private async proposeReport({ ends, cleared }: EndReport): Promise<{ index: number; }> {
--- a/src/daemons/directRouter/directRouterDaemon.ts
+++ b/src/daemons/directRouter/directRouterDaemon.ts
@@ -95,7 +95,7 @@
     constructor(
         override readonly options: DirectRouterOptions,
         override readonly load: UpstreamLoad,
-        override readonly purse: LocalTokenBudget,
+        override readonly tokenBudget: LocalTokenBudget,
         override readonly upstreams: DirectUpstreams,
         override readonly log: Log,
         metrics: Metrics,
@@ -134,7 +134,7 @@
         this.otherRouters = new OtherRouters(
             options.address,
             options.assumedRouterCount,
-            purse,
+            tokenBudget,
             tokenHolders,
             placementSharer,
             [
@@ -340,7 +340,7 @@
         }
         if (this.prepaidReporter.isInContact()) {
             await this.prepaidReporter.waitForAnswer(Math.min(timeoutMs, this.options.controllerGrantMs));
-            if (this.purse.hasEnough(account, tokens, rank, this.clock.getMonotonicMs())) {
+            if (this.tokenBudget.hasEnough(account, tokens, rank, this.clock.getMonotonicMs())) {
                 return;
             }
         }
@@ -389,7 +389,11 @@
         this.log.info("bundle_in_force", { revision, routes: bundle.routes.length, took_ms: durationMs });
         const limits = bundle.accounts.filter(account => account.prepaidTokens !== undefined);
         // Report only changed limits: a report per router and bundle would load the leader.
-        if (this.purse.setLimits(limits.map(account => ({ account: account.name, tokens: account.prepaidTokens! })))) {
+        if (
+            this.tokenBudget.setLimits(
+                limits.map(account => ({ account: account.name, tokens: account.prepaidTokens! })),
+            )
+        ) {
             this.prepaidReporter.requestReport();
         }
     }
--- a/src/daemons/directRouter/otherRouters.ts
+++ b/src/daemons/directRouter/otherRouters.ts
@@ -18,7 +18,7 @@
     constructor(
         address: string,
         private count: number,
-        private readonly purse: LocalTokenBudget,
+        private readonly tokenBudget: LocalTokenBudget,
         private readonly holders: TokenHolders,
         private readonly sharer: PlacementSharer,
         private readonly rateSharings: readonly DistributedRateLimiter[],
@@ -68,6 +68,6 @@
     /** If every router is a holder, routers that report but are not listed count as holders too. */
     private updateHoldings(): void {
         const holders = this.holders.hasOnlySingleRouterGroups() ? this.count : this.holders.getHolderCount();
-        this.purse.setHoldings(account => ({ isHolder: this.holders.isHolder(account), holders }));
+        this.tokenBudget.setHoldings(account => ({ isHolder: this.holders.isHolder(account), holders }));
     }
 }
--- a/src/daemons/directRouter/prepaidBorrower.ts
+++ b/src/daemons/directRouter/prepaidBorrower.ts
@@ -31,7 +31,7 @@
     private returnTimer: NodeJS.Timeout | undefined;
 
     constructor(
-        private readonly purse: LocalTokenBudget,
+        private readonly tokenBudget: LocalTokenBudget,
         private readonly holders: TokenHolders,
         private readonly network: PeerNetwork,
         private readonly routerLinks: RouterLinks,
@@ -50,7 +50,7 @@
 
     addHandlers(handlers: PeerHandlers): void {
         handlers.add(lendPrepaidMethod, ({ account, tokens, rank, isHeldForAsker }) => {
-            const lent = this.purse.lend(account, tokens, rank, isHeldForAsker, performance.now());
+            const lent = this.tokenBudget.lend(account, tokens, rank, isHeldForAsker, performance.now());
             // If the loan falls short and the request is refused, the borrower logs it.
             if (lent > 0 && !isHeldForAsker) {
                 this.log.info("prepaid_lent", { account, asked: tokens, lent });
@@ -59,7 +59,7 @@
         });
         handlers.add(returnPrepaidMethod, ({ accounts }) => {
             const now = performance.now();
-            accounts.forEach(({ account, tokens }) => this.purse.addReturnedLoan(account, tokens, now));
+            accounts.forEach(({ account, tokens }) => this.tokenBudget.addReturnedLoan(account, tokens, now));
         });
     }
 
@@ -69,7 +69,7 @@
      */
     returnLoans(): void {
         const byHolder = new Map<string, UnusedLoan[]>();
-        for (const unused of this.purse.listUnusedLoans()) {
+        for (const unused of this.tokenBudget.listUnusedLoans()) {
             const holder = this.holders.tryGetReachableHolder(unused.account, address => this.isEligible(address));
             if (holder !== undefined) {
                 byHolder.set(holder, [...byHolder.get(holder) ?? [], unused]);
@@ -77,7 +77,7 @@
         }
         for (const [holder, accounts] of byHolder) {
             if (this.routerLinks.tryNotify(holder, returnPrepaidMethod, { accounts })) {
-                accounts.forEach(({ account, tokens }) => this.purse.deductReturnedLoan(account, tokens));
+                accounts.forEach(({ account, tokens }) => this.tokenBudget.deductReturnedLoan(account, tokens));
             }
         }
     }
@@ -108,7 +108,7 @@
     }
 
     private getShortfall(account: string, tokens: number, rank: number): number {
-        return this.purse.getShortfall(account, tokens, rank, performance.now());
+        return this.tokenBudget.getShortfall(account, tokens, rank, performance.now());
     }
 
     /** Whether a router may be asked for a loan, that is, its backoff has expired. */
@@ -150,7 +150,7 @@
                 callTimeoutMs,
             );
             this.backoffUntil.delete(address);
-            this.purse.addBorrowed(account, answer.tokens);
+            this.tokenBudget.addBorrowed(account, answer.tokens);
         }
         catch (error) {
             // Tokens already deducted by the lender are lost. This is safe: the lender will report more demand.
--- a/src/daemons/directRouter/prepaidReporter.ts
+++ b/src/daemons/directRouter/prepaidReporter.ts
@@ -37,7 +37,7 @@
     private hasLastAttemptSucceeded = true;
 
     constructor(
-        private readonly purse: LocalTokenBudget,
+        private readonly tokenBudget: LocalTokenBudget,
         private readonly network: PeerNetwork,
         private readonly clock: Clock,
         private readonly log: Log,
@@ -93,11 +93,11 @@
         this.lastStartedRound += 1;
         const round = this.lastStartedRound;
         this.isReportRequested = false;
-        if (!this.purse.hasAccounts()) {
+        if (!this.tokenBudget.hasAccounts()) {
             return;
         }
         for (const address of this.listControllers()) {
-            const report = this.purse.createReport(this.clock.getMonotonicMs(), this.clock.getWallMs(), closing);
+            const report = this.tokenBudget.createReport(this.clock.getMonotonicMs(), this.clock.getWallMs(), closing);
             try {
                 const { callTimeoutMs } = this.options;
                 const answer = await this.network.call(address, reportPrepaidMethod, { report }, callTimeoutMs);
@@ -113,7 +113,7 @@
 
     /** Applies a response to the purse and wakes the requests that wait for it. */
     private receiveAnswer(address: string, sequence: number, round: number, answer: PrepaidResult): void {
-        this.purse.applyAnswer(sequence, answer.accounts, this.clock.getMonotonicMs());
+        this.tokenBudget.applyAnswer(sequence, answer.accounts, this.clock.getMonotonicMs());
         this.routerCount = Math.max(1, answer.routers);
         this.preferredController = address;
         this.lastAnsweredAt = this.clock.getMonotonicMs();
--- a/src/daemons/directRouter/relayContext.ts
+++ b/src/daemons/directRouter/relayContext.ts
@@ -62,7 +62,7 @@
     abstract readonly registry: UpstreamRegistry;
     abstract readonly candidates: UpstreamCandidates;
     abstract readonly load: UpstreamLoad;
-    abstract readonly purse: LocalTokenBudget;
+    abstract readonly tokenBudget: LocalTokenBudget;
     abstract readonly upstreams: DirectUpstreams;
     abstract readonly quarantine: RequestQuarantine;
 
--- a/src/daemons/directRouter/tokenReservation.ts
+++ b/src/daemons/directRouter/tokenReservation.ts
@@ -33,10 +33,10 @@
         if (account === undefined || tokens === 0) {
             return undefined;
         }
-        const { purse, options } = this.context;
+        const { tokenBudget, options } = this.context;
         const waitDeadline = Math.min(this.deadline, performance.now() + options.grantWaitMs);
         for (;;) {
-            const outcome = purse.tryReserve(account.name, tokens, route.rank, performance.now());
+            const outcome = tokenBudget.tryReserve(account.name, tokens, route.rank, performance.now());
             if (outcome === "reserved") {
                 return undefined;
             }
@@ -47,9 +47,9 @@
                     ? createRefusal("prepaidExhausted", account.name)
                     : createRefusal("budgetUnreachable", account.name, "no", options.grantRetryAfterMs);
             }
-            purse.addWaiting(account.name, tokens);
+            tokenBudget.addWaiting(account.name, tokens);
             await this.context.waitForGrant(account.name, tokens, route.rank, remainingMs);
-            purse.addWaiting(account.name, -tokens);
+            tokenBudget.addWaiting(account.name, -tokens);
         }
     }
 
@@ -65,7 +65,7 @@
 
     private logNotReserved(account: string, outcome: ReserveOutcome): void {
         const { request, route } = this.resolved;
-        const state = this.context.purse.tryGetState(account, performance.now());
+        const state = this.context.tokenBudget.tryGetState(account, performance.now());
         this.context.log.info("tokens_not_reserved", {
             request: request.forwarded.id,
             account,
@@ -83,7 +83,7 @@
     private settleTokens(usedTokens: number): void {
         const { account } = this.resolved;
         if (account !== undefined && this.reserved > 0) {
-            this.context.purse.settle(account.name, this.reserved, usedTokens);
+            this.context.tokenBudget.settle(account.name, this.reserved, usedTokens);
         }
     }
 
--- a/src/daemons/router/ledgerClient.ts
+++ b/src/daemons/router/ledgerClient.ts
@@ -46,7 +46,7 @@
 }
 
 export class LedgerClient {
-    private readonly book: GrantStore;
+    private readonly grantStore: GrantStore;
     private readonly demands = new Map<string, DecayingRate>();
     private readonly pendingDraws = new Map<string, Promise<unknown>>();
     private readonly cachedRefusals = new Map<string, CachedRefusal>();
@@ -59,7 +59,7 @@
         private readonly metrics: Metrics,
         private readonly options: LedgerClientOptions,
     ) {
-        this.book = new GrantStore(options.router, clock, () => this.tokensFreed.notifyAll());
+        this.grantStore = new GrantStore(options.router, clock, () => this.tokensFreed.notifyAll());
     }
 
     addHandlers(handlers: PeerHandlers): void {
@@ -71,7 +71,7 @@
         this.getDemand(budget).add(tokens, this.clock.getMonotonicMs());
         const deadline = this.clock.getMonotonicMs() + this.options.settleWaitMs;
         for (;;) {
-            const reservation = this.book.tryReserve(budget, tokens);
+            const reservation = this.grantStore.tryReserve(budget, tokens);
             if (reservation !== undefined) {
                 this.drawAhead(budget, reservation.grant);
                 return reservation;
@@ -81,9 +81,9 @@
             if (refusal === undefined) {
                 continue;
             }
-            if (remainingMs <= 0 || !this.book.hasReservedTokens(budget)) {
+            if (remainingMs <= 0 || !this.grantStore.hasReservedTokens(budget)) {
                 // Other runs may have settled during the draw.
-                const lateReservation = this.book.tryReserve(budget, tokens);
+                const lateReservation = this.grantStore.tryReserve(budget, tokens);
                 if (lateReservation !== undefined) {
                     return lateReservation;
                 }
@@ -97,13 +97,13 @@
     /** Returns the free tokens of expired grants, and removes the grants that have no open reservations. */
     async returnExpiredGrants(): Promise<void> {
         const now = this.clock.getMonotonicMs();
-        const expiredGrants = this.book.getAll().filter(grant => now >= grant.expiresAt);
+        const expiredGrants = this.grantStore.getAll().filter(grant => now >= grant.expiresAt);
         await this.sendReturns(expiredGrants);
     }
 
     /** Retires all grants and returns their free tokens. For a planned stop. */
     async returnAllGrants(): Promise<void> {
-        const grants = this.book.getAll();
+        const grants = this.grantStore.getAll();
         grants.forEach(grant => grant.retired = true);
         await this.sendReturns(grants);
     }
@@ -137,7 +137,7 @@
     private async drawExclusively(budget: string, need: number): Promise<Refusal | undefined> {
         while (this.pendingDraws.has(budget)) {
             await this.pendingDraws.get(budget);
-            if (need > 0 && this.book.getByBudget(budget).some(grant => computeFreeGrantTokens(grant) >= need)) {
+            if (need > 0 && this.grantStore.getByBudget(budget).some(grant => computeFreeGrantTokens(grant) >= need)) {
                 return undefined;
             }
         }
@@ -201,8 +201,8 @@
     private async drawFrom(controller: ControllerAddress, budget: string, need: number): Promise<void> {
         const startedAt = this.clock.getMonotonicMs();
         const info: LedgerInfo = await this.network.call(controller.address, ledgerInfoMethod, {}, INFO_TIMEOUT_MS);
-        const drawable = this.book.tryGetDrawable(budget, info.ledger, MIN_REMAINING_LIFETIME_MS);
-        const grant = drawable ?? this.book.openGrant(budget, info.ledger, controller.name, info.grantLifeMs);
+        const drawable = this.grantStore.tryGetDrawable(budget, info.ledger, MIN_REMAINING_LIFETIME_MS);
+        const grant = drawable ?? this.grantStore.openGrant(budget, info.ledger, controller.name, info.grantLifeMs);
         grant.drawSequence += 1;
         const params = {
             grant: grant.id,
@@ -229,13 +229,13 @@
             this.log.warn("draw_lost", { grant: grant.id, budget: grant.budget, code: refusal.code });
         }
         else if (grant.granted === 0) {
-            this.book.remove(grant);
+            this.grantStore.remove(grant);
         }
     }
 
     /** Returns the free tokens of a budget immediately, because another router needs them. */
     private async returnFreeTokens(budget: string): Promise<number> {
-        const grants = this.book.getByBudget(budget);
+        const grants = this.grantStore.getByBudget(budget);
         const freeTokens = grants.reduce((sum, grant) => sum + computeFreeGrantTokens(grant), 0);
         await this.sendReturns(grants);
         return freeTokens;
@@ -267,6 +267,6 @@
             this.log.warn("return_failed", { controller: controllerName, code: getRefusal(error).code });
             return;
         }
-        entries.forEach((entry, i) => entry.done && this.book.remove(grants[i]!));
+        entries.forEach((entry, i) => entry.done && this.grantStore.remove(grants[i]!));
     }
 }
--- a/test/daemons/prepaidBorrower.test.ts
+++ b/test/daemons/prepaidBorrower.test.ts
@@ -73,9 +73,9 @@
 function createBorrower(callTimeoutMs = BEYOND_TEST_MS) {
     const holders = createHolders(CONTACTS.find(self => !createHolders(self).isHolder(ACCOUNT))!);
     const network = new LendingNetwork();
-    const purse = new LocalTokenBudget("r", "i", testTokenBudgetOptions);
-    purse.setLimits([{ account: ACCOUNT, tokens: 100_000 }]);
-    purse.setHoldings(() => ({ isHolder: false, holders: 1 }));
+    const tokenBudget = new LocalTokenBudget("r", "i", testTokenBudgetOptions);
+    tokenBudget.setLimits([{ account: ACCOUNT, tokens: 100_000 }]);
+    tokenBudget.setHoldings(() => ({ isHolder: false, holders: 1 }));
     const links = new RouterLinks(network, NO_LOG);
     const options = {
         maxLenders: 6,
@@ -84,8 +84,14 @@
         backoffMs: BEYOND_TEST_MS,
         returnPeriodMs: BEYOND_TEST_MS,
     };
-    const borrower = new PrepaidBorrower(purse, holders, network, links, NO_LOG, options);
-    return { borrower, purse, network, links, holder: holders.tryGetReachableHolder(ACCOUNT, () => true)! };
+    const borrower = new PrepaidBorrower(tokenBudget, holders, network, links, NO_LOG, options);
+    return {
+        borrower,
+        purse: tokenBudget,
+        network,
+        links,
+        holder: holders.tryGetReachableHolder(ACCOUNT, () => true)!,
+    };
 }
 
 function createHolders(self: { address: string; zone: string; }): TokenHolders {
@@ -95,10 +101,10 @@
 }
 
 void t.test("the holder is asked for the shortfall, and skipped for the next router after a failure", async t => {
-    const { borrower, purse, network, holder } = createBorrower();
+    const { borrower, purse: tokenBudget, network, holder } = createBorrower();
     t.equal(await borrower.borrowFromHolder(ACCOUNT, 3_000, RANK), true);
     t.same(network.calledAddresses, [holder]);
-    t.equal(purse.tryReserve(ACCOUNT, 3_000, RANK, performance.now()), "reserved");
+    t.equal(tokenBudget.tryReserve(ACCOUNT, 3_000, RANK, performance.now()), "reserved");
     network.unreachable.add(holder);
     t.equal(await borrower.borrowFromHolder(ACCOUNT, 1_000, RANK), false);
     t.equal(await borrower.borrowFromHolder(ACCOUNT, 1_000, RANK), true);
@@ -107,13 +113,13 @@
 });
 
 void t.test("a loan that arrives after the request timed out is kept and returned", async t => {
-    const { borrower, purse, network, links, holder } = createBorrower(1);
+    const { borrower, purse: tokenBudget, network, links, holder } = createBorrower(1);
     network.slow.add(holder);
     t.equal(await borrower.borrowFromHolder(ACCOUNT, 3_000, RANK), false);
-    t.same(purse.listUnusedLoans(), []);
+    t.same(tokenBudget.listUnusedLoans(), []);
     network.delayedAnswers.forEach(answer => answer());
     await settlePromises();
-    t.same(purse.listUnusedLoans(), [{ account: ACCOUNT, tokens: 3_000 }]);
+    t.same(tokenBudget.listUnusedLoans(), [{ account: ACCOUNT, tokens: 3_000 }]);
     links.reconcile([holder]);
     await settlePromises();
     borrower.returnLoans();
@@ -121,15 +127,15 @@
 });
 
 void t.test("unused tokens are returned to the holder once, and only when it is connected", async t => {
-    const { borrower, purse, network, links, holder } = createBorrower();
+    const { borrower, purse: tokenBudget, network, links, holder } = createBorrower();
     await borrower.borrowFromHolder(ACCOUNT, 3_000, RANK);
     borrower.returnLoans();
-    t.same(purse.listUnusedLoans(), [{ account: ACCOUNT, tokens: 3_000 }], "not connected yet");
+    t.same(tokenBudget.listUnusedLoans(), [{ account: ACCOUNT, tokens: 3_000 }], "not connected yet");
     await settlePromises();
     borrower.returnLoans();
     borrower.returnLoans();
     t.same(network.peers.get(holder)!.notices, [{ accounts: [{ account: ACCOUNT, tokens: 3_000 }] }]);
-    t.same(purse.listUnusedLoans(), []);
+    t.same(tokenBudget.listUnusedLoans(), []);
     t.equal(links.isReachable(holder), true);
 });
 
--- a/test/daemons/prepaidReporter.test.ts
+++ b/test/daemons/prepaidReporter.test.ts
@@ -53,14 +53,14 @@
 
 void t.test("a request that starts waiting during a report is included in the next one, sent immediately", async t => {
     const network = new ManualNetwork();
-    const purse = new LocalTokenBudget("r1", "i1", testTokenBudgetOptions);
-    purse.setLimits([{ account: "a", tokens: PREPAID_TOKENS }]);
+    const tokenBudget = new LocalTokenBudget("r1", "i1", testTokenBudgetOptions);
+    tokenBudget.setLimits([{ account: "a", tokens: PREPAID_TOKENS }]);
     const options = { ...OPTIONS, shutdownTimeoutMs: 500 };
-    const reporter = new PrepaidReporter(purse, network, new SystemClock(), NO_LOG, () => ["c1"], options);
+    const reporter = new PrepaidReporter(tokenBudget, network, new SystemClock(), NO_LOG, () => ["c1"], options);
     const running = reporter.run();
     await waitUntil("the first report", () => network.reports.length === 1);
 
-    purse.addWaiting("a", 5_000);
+    tokenBudget.addWaiting("a", 5_000);
     let isGranted = false;
     void reporter.waitForAnswer(BEYOND_TEST_MS).then(() => isGranted = true);
     network.answerNext();
@@ -82,10 +82,10 @@
 
 void t.test("unreachable controllers do not delay shutdown beyond the closing timeout", async t => {
     const network = new ManualNetwork();
-    const purse = new LocalTokenBudget("r1", "i1", testTokenBudgetOptions);
-    purse.setLimits([{ account: "a", tokens: PREPAID_TOKENS }]);
+    const tokenBudget = new LocalTokenBudget("r1", "i1", testTokenBudgetOptions);
+    tokenBudget.setLimits([{ account: "a", tokens: PREPAID_TOKENS }]);
     const options = { ...OPTIONS, shutdownTimeoutMs: 20 };
-    const reporter = new PrepaidReporter(purse, network, new SystemClock(), NO_LOG, () => ["c1", "c2"], options);
+    const reporter = new PrepaidReporter(tokenBudget, network, new SystemClock(), NO_LOG, () => ["c1", "c2"], options);
     await reporter.stop();
     t.equal(network.reports.length, 1);
     t.equal(network.reports[0]!.closing, true);
--- a/test/domain/evacuationStore.test.ts
+++ b/test/domain/evacuationStore.test.ts
@@ -9,40 +9,43 @@
 }
 
 void t.test("a command, its duplicate and its reversal", t => {
-    const book = new EvacuationStore();
-    t.equal(book.applySet(createOrder("a", true, 0), 5).outcome, "done");
-    t.equal(book.applySet(createOrder("a", true, 0), 6).outcome, "done", "duplicate");
-    t.same(book.createList(), { index: 5, zones: ["a"] });
-    t.equal(book.applySet(createOrder("a", false, 1), 7).outcome, "done");
-    t.equal(book.applySet(createOrder("a", false, 2), 8).outcome, "done", "second reversal");
-    t.same(book.createList(), { index: 7, zones: [] });
+    const store = new EvacuationStore();
+    t.equal(store.applySet(createOrder("a", true, 0), 5).outcome, "done");
+    t.equal(store.applySet(createOrder("a", true, 0), 6).outcome, "done", "duplicate");
+    t.same(store.createList(), { index: 5, zones: ["a"] });
+    t.equal(store.applySet(createOrder("a", false, 1), 7).outcome, "done");
+    t.equal(store.applySet(createOrder("a", false, 2), 8).outcome, "done", "second reversal");
+    t.same(store.createList(), { index: 7, zones: [] });
     t.end();
 });
 
 void t.test("a duplicate that arrives after the reversal changes nothing", t => {
-    const book = new EvacuationStore();
-    book.applySet(createOrder("a", true, 0), 1);
-    book.applySet(createOrder("a", false, 1), 2);
-    t.equal(book.applySet(createOrder("a", true, 0), 3).outcome, "overtaken");
-    t.same(book.createList(), { index: 2, zones: [] });
+    const store = new EvacuationStore();
+    store.applySet(createOrder("a", true, 0), 1);
+    store.applySet(createOrder("a", false, 1), 2);
+    t.equal(store.applySet(createOrder("a", true, 0), 3).outcome, "overtaken");
+    t.same(store.createList(), { index: 2, zones: [] });
     t.end();
 });
 
 void t.test("of two commands based on the same state only one is applied", t => {
-    const book = new EvacuationStore();
-    book.applySet(createOrder("a", true, 0), 1);
-    t.equal(book.applySet(createOrder("a", false, 1), 2).outcome, "done");
-    t.equal(book.applySet(createOrder("a", true, 1), 3).outcome, "overtaken");
-    t.equal(book.applySet(createOrder("b", true, 0), 4).outcome, "done", "zones are independent");
+    const store = new EvacuationStore();
+    store.applySet(createOrder("a", true, 0), 1);
+    t.equal(store.applySet(createOrder("a", false, 1), 2).outcome, "done");
+    t.equal(store.applySet(createOrder("a", true, 1), 3).outcome, "overtaken");
+    t.equal(store.applySet(createOrder("b", true, 0), 4).outcome, "done", "zones are independent");
     t.end();
 });
 
 void t.test("the number of zones is bounded, and known zones can still be changed", t => {
-    const book = new EvacuationStore();
-    const outcomes = Array.from({ length: 300 }, (_, i) => book.applySet(createOrder(`z${i}`, true, 0), i + 1).outcome);
+    const store = new EvacuationStore();
+    const outcomes = Array.from(
+        { length: 300 },
+        (_, i) => store.applySet(createOrder(`z${i}`, true, 0), i + 1).outcome,
+    );
     t.equal(outcomes.filter(outcome => outcome === "done").length, 256);
     t.equal(outcomes.at(-1), "full");
-    t.equal(book.applySet(createOrder("z0", false, 1), 400).outcome, "done");
+    t.equal(store.applySet(createOrder("z0", false, 1), 400).outcome, "done");
     t.end();
 });
 
--- a/test/domain/prepaid.test.ts
+++ b/test/domain/prepaid.test.ts
@@ -25,16 +25,16 @@
 }
 
 /** Applies the first two reports of a new incarnation, which replaces the previous one with the second report. */
-function reportRestart(book: PrepaidLedger, index: number, part: Partial<PrepaidReportCommand>): PrepaidResult {
+function reportRestart(ledger: PrepaidLedger, index: number, part: Partial<PrepaidReportCommand>): PrepaidResult {
     const firstReport = createReport({ incarnation: "i2", ...part }, 0);
-    t.match(book.applyReport(firstReport, index), { taken: false, awaitsConfirmation: true, accounts: [] });
-    return book.applyReport({ ...firstReport, sequence: 2, answered: 1 }, index + 1);
+    t.match(ledger.applyReport(firstReport, index), { taken: false, awaitsConfirmation: true, accounts: [] });
+    return ledger.applyReport({ ...firstReport, sequence: 2, answered: 1 }, index + 1);
 }
 
-function createBook(): PrepaidLedger {
-    const book = new PrepaidLedger();
-    book.applyLimits([{ account: "a", tokens: 10_000 }]);
-    return book;
+function createLedger(): PrepaidLedger {
+    const ledger = new PrepaidLedger();
+    ledger.applyLimits([{ account: "a", tokens: 10_000 }]);
+    return ledger;
 }
 
 /** Runs the simulation with every seed. `holder`: the router that holds all accounts for the others, if any. */
@@ -62,111 +62,111 @@
     runSimulations(t, "r2", true));
 
 void t.test("a restarted router returns tokens that its previous process cannot have spent", t => {
-    const book = createBook();
-    book.applyReport(createReport({}, 0), 1);
-    book.applyReport(createReport({ sequence: 2, answered: 1 }, 300), 2);
-    t.equal(book.getFree("a"), 10_000 - 1_300);
+    const ledger = createLedger();
+    ledger.applyReport(createReport({}, 0), 1);
+    ledger.applyReport(createReport({ sequence: 2, answered: 1 }, 300), 2);
+    t.equal(ledger.getFree("a"), 10_000 - 1_300);
     const predecessor = { sinceAnsweredMs: 2_000, sinceNewestMs: 1_000 };
-    reportRestart(book, 3, { predecessor });
+    reportRestart(ledger, 3, { predecessor });
     // The newest report permits 300 + 100, plus 50 per second for one second.
-    t.equal(book.getFree("a"), 10_000 - 450 - 1_000);
-    t.equal(book.listMostDepleted(1)[0]!.writtenOff, 150, "may have been spent but was not reported");
-    book.checkConservation();
+    t.equal(ledger.getFree("a"), 10_000 - 450 - 1_000);
+    t.equal(ledger.listMostDepleted(1)[0]!.writtenOff, 150, "may have been spent but was not reported");
+    ledger.checkConservation();
     t.end();
 });
 
 void t.test("the whole grant counts as spent if the lifetime of the previous process is unknown", t => {
-    const book = createBook();
-    book.applyReport(createReport({}, 0), 1);
-    reportRestart(book, 2, {});
-    t.equal(book.getFree("a"), 10_000 - 1_000 - 1_000);
+    const ledger = createLedger();
+    ledger.applyReport(createReport({}, 0), 1);
+    reportRestart(ledger, 2, {});
+    t.equal(ledger.getFree("a"), 10_000 - 1_000 - 1_000);
     t.end();
 });
 
 void t.test("tokens written off are included in answers and snapshots", t => {
-    const book = createBook();
-    book.applyReport(createReport({}, 0), 1);
-    reportRestart(book, 2, {});
+    const ledger = createLedger();
+    ledger.applyReport(createReport({}, 0), 1);
+    reportRestart(ledger, 2, {});
     const copy = new PrepaidLedger();
-    copy.loadSnapshot(book.createSnapshot());
+    copy.loadSnapshot(ledger.createSnapshot());
     const result = copy.applyReport(createReport({ incarnation: "i2", sequence: 3 }, 0), 4);
     t.equal(result.accounts[0]!.writtenOff, 1_000);
-    t.same(copy.listMostDepleted(1), book.listMostDepleted(1));
+    t.same(copy.listMostDepleted(1), ledger.listMostDepleted(1));
     t.end();
 });
 
 void t.test("a delayed report of an ended incarnation is rejected", t => {
-    const book = createBook();
-    book.applyReport(createReport({}, 0), 1);
-    reportRestart(book, 2, {});
-    t.equal(book.applyReport(createReport({ sequence: 5 }, 0), 3).taken, false);
-    book.checkConservation();
+    const ledger = createLedger();
+    ledger.applyReport(createReport({}, 0), 1);
+    reportRestart(ledger, 2, {});
+    t.equal(ledger.applyReport(createReport({ sequence: 5 }, 0), 3).taken, false);
+    ledger.checkConservation();
     t.end();
 });
 
 void t.test("a closing report returns unused tokens", t => {
-    const book = createBook();
-    book.applyReport(createReport({}, 0), 1);
-    book.applyReport(createReport({ sequence: 2, answered: 1, closing: true }, 250), 2);
-    t.equal(book.getFree("a"), 10_000 - 250);
-    t.equal(book.listMostDepleted(1)[0]!.writtenOff, 0);
+    const ledger = createLedger();
+    ledger.applyReport(createReport({}, 0), 1);
+    ledger.applyReport(createReport({ sequence: 2, answered: 1, closing: true }, 250), 2);
+    t.equal(ledger.getFree("a"), 10_000 - 250);
+    t.equal(ledger.listMostDepleted(1)[0]!.writtenOff, 0);
     t.end();
 });
 
 void t.test("a delayed first report of an exited process does not replace its successor", t => {
-    const book = createBook();
-    book.applyReport(createReport({ incarnation: "i2" }, 0), 1);
-    t.equal(book.applyReport(createReport({ incarnation: "i1" }, 0), 2).taken, false, "delayed and never answered");
-    t.equal(book.applyReport(createReport({ incarnation: "i2", sequence: 2, answered: 1 }, 100), 3).taken, true);
-    t.equal(book.getFree("a"), 10_000 - 1_100);
+    const ledger = createLedger();
+    ledger.applyReport(createReport({ incarnation: "i2" }, 0), 1);
+    t.equal(ledger.applyReport(createReport({ incarnation: "i1" }, 0), 2).taken, false, "delayed and never answered");
+    t.equal(ledger.applyReport(createReport({ incarnation: "i2", sequence: 2, answered: 1 }, 100), 3).taken, true);
+    t.equal(ledger.getFree("a"), 10_000 - 1_100);
     t.end();
 });
 
 void t.test("an answered incarnation that was superseded by a newer one is rejected", t => {
-    const book = createBook();
-    book.applyReport(createReport({}, 0), 1);
-    book.applyReport(createReport({ incarnation: "i2" }, 0), 2);
-    book.applyReport(createReport({ incarnation: "i3" }, 0), 3);
-    t.equal(book.applyReport(createReport({ incarnation: "i3", sequence: 2, answered: 1 }, 0), 4).taken, true);
-    const late = book.applyReport(createReport({ incarnation: "i2", sequence: 2, answered: 1 }, 0), 5);
+    const ledger = createLedger();
+    ledger.applyReport(createReport({}, 0), 1);
+    ledger.applyReport(createReport({ incarnation: "i2" }, 0), 2);
+    ledger.applyReport(createReport({ incarnation: "i3" }, 0), 3);
+    t.equal(ledger.applyReport(createReport({ incarnation: "i3", sequence: 2, answered: 1 }, 0), 4).taken, true);
+    const late = ledger.applyReport(createReport({ incarnation: "i2", sequence: 2, answered: 1 }, 0), 5);
     t.match(late, { taken: false, awaitsConfirmation: false });
-    book.checkConservation();
+    ledger.checkConservation();
     t.end();
 });
 
 void t.test("the whole grant counts as spent after a long time without an answer", t => {
-    const book = createBook();
-    book.applyReport(createReport({}, 0), 1);
+    const ledger = createLedger();
+    ledger.applyReport(createReport({}, 0), 1);
     const predecessor = { sinceAnsweredMs: 0, sinceNewestMs: 3_000 };
-    reportRestart(book, 2, { predecessor });
-    t.equal(book.getFree("a"), 10_000 - 1_000 - 1_000);
+    reportRestart(ledger, 2, { predecessor });
+    t.equal(ledger.getFree("a"), 10_000 - 1_000 - 1_000);
     t.end();
 });
 
 void t.test("an account omitted from a report is unchanged", t => {
-    const book = createBook();
-    book.applyReport(createReport({}, 200), 1);
-    book.applyReport(createReport({ sequence: 2, answered: 1, accounts: [] }, 0), 2);
-    book.applyReport(createReport({ sequence: 3, answered: 2, accounts: [] }, 0), 3);
-    t.equal(book.getFree("a"), 10_000 - 1_200, "the grant is unchanged");
-    reportRestart(book, 4, { predecessor: { sinceAnsweredMs: 1_000, sinceNewestMs: 1_000 } });
+    const ledger = createLedger();
+    ledger.applyReport(createReport({}, 200), 1);
+    ledger.applyReport(createReport({ sequence: 2, answered: 1, accounts: [] }, 0), 2);
+    ledger.applyReport(createReport({ sequence: 3, answered: 2, accounts: [] }, 0), 3);
+    t.equal(ledger.getFree("a"), 10_000 - 1_200, "the grant is unchanged");
+    reportRestart(ledger, 4, { predecessor: { sinceAnsweredMs: 1_000, sinceNewestMs: 1_000 } });
     // 200 committed, a burst of 100 and 50 per second for one second since the reports that omitted the account.
-    t.equal(book.getFree("a"), 10_000 - 350 - 1_000);
-    book.checkConservation();
+    t.equal(ledger.getFree("a"), 10_000 - 350 - 1_000);
+    ledger.checkConservation();
     t.end();
 });
 
 void t.test("an answer includes the total burst of all routers that may still spend", t => {
-    const book = createBook();
-    t.equal(book.applyReport(createReport({}, 0), 1).accounts[0]!.burst, 100);
-    t.equal(book.applyReport(createReport({ router: "r2", incarnation: "j1" }, 0), 2).accounts[0]!.burst, 200);
+    const ledger = createLedger();
+    t.equal(ledger.applyReport(createReport({}, 0), 1).accounts[0]!.burst, 100);
+    t.equal(ledger.applyReport(createReport({ router: "r2", incarnation: "j1" }, 0), 2).accounts[0]!.burst, 200);
     const copy = new PrepaidLedger();
-    copy.loadSnapshot(book.createSnapshot());
+    copy.loadSnapshot(ledger.createSnapshot());
     copy.checkConservation();
     t.equal(copy.applyReport(createReport({ sequence: 2, answered: 1 }, 0), 3).accounts[0]!.burst, 200);
-    book.applyReport(createReport({ sequence: 2, answered: 1, closing: true }, 0), 3);
+    ledger.applyReport(createReport({ sequence: 2, answered: 1, closing: true }, 0), 3);
     const left = createReport({ router: "r2", incarnation: "j1", sequence: 2, answered: 1 }, 0);
-    t.equal(book.applyReport(left, 4).accounts[0]!.burst, 100);
-    book.checkConservation();
+    t.equal(ledger.applyReport(left, 4).accounts[0]!.burst, 100);
+    ledger.checkConservation();
     t.end();
 });
--- a/test/domain/tokenHolders.test.ts
+++ b/test/domain/tokenHolders.test.ts
@@ -74,10 +74,10 @@
 
 /** Routers measure demand while they reach the controllers and are then partitioned from them. */
 class PartitionSimulation {
-    private readonly book = new PrepaidLedger();
+    private readonly ledger = new PrepaidLedger();
     private readonly contacts = createContacts(ROUTER_COUNT);
     private readonly holders = createHolders(this.contacts);
-    private readonly purses = new Map<string, LocalTokenBudget>();
+    private readonly tokenBudgets = new Map<string, LocalTokenBudget>();
     private readonly names = Array.from({ length: ACCOUNT_COUNT }, (_, i) => `account-${i}`);
     /** Few accounts are large, and most are small. */
     private readonly weights = this.names.map((_name, i) => 1 / (i + 1));
@@ -91,20 +91,20 @@
             account,
             tokens: Math.floor(TOTAL_PREPAID * this.weights[i]! / sum),
         }));
-        this.book.applyLimits(limits);
+        this.ledger.applyLimits(limits);
         for (const { address } of this.contacts) {
-            const purse = new LocalTokenBudget(address, `i-${address}`, {
+            const tokenBudget = new LocalTokenBudget(address, `i-${address}`, {
                 ...testTokenBudgetOptions,
                 horizonMs: 9_500,
             });
             const holders = this.holders.get(address)!;
-            purse.setHoldings(account =>
+            tokenBudget.setHoldings(account =>
                 hasGroupHolders
                     ? { isHolder: holders.isHolder(account), holders: holders.getHolderCount() }
                     : { isHolder: true, holders: ROUTER_COUNT }
             );
-            purse.setLimits(limits);
-            this.purses.set(address, purse);
+            tokenBudget.setLimits(limits);
+            this.tokenBudgets.set(address, tokenBudget);
         }
     }
 
@@ -120,10 +120,10 @@
         const end = this.now + durationMs;
         for (; this.now < end; this.now += STEP_MS) {
             if (this.now % REPORT_INTERVAL_MS === 0) {
-                this.purses.forEach((purse, router) => this.returnLoans(router, purse));
+                this.tokenBudgets.forEach((tokenBudget, router) => this.returnLoans(router, tokenBudget));
             }
             if (isInContact && this.now % REPORT_INTERVAL_MS === 0) {
-                this.purses.forEach(purse => this.report(purse));
+                this.tokenBudgets.forEach(tokenBudget => this.report(tokenBudget));
             }
             for (let due = REQUESTS_PER_SECOND * STEP_MS / 1_000; due > 0; due--) {
                 if (due >= 1 || this.random() < due) {
@@ -139,33 +139,33 @@
 
     private serve(router: string, tokens: number, isInContact: boolean): boolean {
         const account = this.pickAccount();
-        const purse = this.purses.get(router)!;
-        const getShortfall = (): number => purse.getShortfall(account, tokens, 0, this.now);
+        const tokenBudget = this.tokenBudgets.get(router)!;
+        const getShortfall = (): number => tokenBudget.getShortfall(account, tokens, 0, this.now);
         const lenders = this.listLenders(router, account);
         for (let i = 0; getShortfall() > 0 && i < lenders.length && (!isInContact || this.hasGroupHolders); i++) {
             this.lendersAsked += 1;
-            const lender = this.purses.get(lenders[i]!)!;
+            const lender = this.tokenBudgets.get(lenders[i]!)!;
             const isHeldForAsker = this.hasGroupHolders && i === 0;
-            purse.addBorrowed(account, lender.lend(account, getShortfall(), 0, isHeldForAsker, this.now));
+            tokenBudget.addBorrowed(account, lender.lend(account, getShortfall(), 0, isHeldForAsker, this.now));
         }
         if (getShortfall() > 0 && isInContact) {
-            purse.addWaiting(account, tokens);
-            this.report(purse);
-            purse.addWaiting(account, -tokens);
+            tokenBudget.addWaiting(account, tokens);
+            this.report(tokenBudget);
+            tokenBudget.addWaiting(account, -tokens);
         }
-        const isServed = purse.tryReserve(account, tokens, 0, this.now) === "reserved";
+        const isServed = tokenBudget.tryReserve(account, tokens, 0, this.now) === "reserved";
         if (isServed) {
             // Answers consume less than was reserved.
-            purse.settle(account, tokens, Math.floor(tokens * USED_FRACTION));
+            tokenBudget.settle(account, tokens, Math.floor(tokens * USED_FRACTION));
         }
         return isServed;
     }
 
-    private returnLoans(router: string, purse: LocalTokenBudget): void {
-        for (const { account, tokens } of purse.listUnusedLoans()) {
+    private returnLoans(router: string, tokenBudget: LocalTokenBudget): void {
+        for (const { account, tokens } of tokenBudget.listUnusedLoans()) {
             const holder = this.holders.get(router)!.tryGetReachableHolder(account, () => true)!;
-            this.purses.get(holder)!.addReturnedLoan(account, tokens, this.now);
-            purse.deductReturnedLoan(account, tokens);
+            this.tokenBudgets.get(holder)!.addReturnedLoan(account, tokens, this.now);
+            tokenBudget.deductReturnedLoan(account, tokens);
         }
     }
 
@@ -182,10 +182,10 @@
         ];
     }
 
-    private report(purse: LocalTokenBudget): void {
-        const report = purse.createReport(this.now, this.now, false);
-        const result = this.book.applyReport(report, ++this.index);
-        purse.applyAnswer(report.sequence, result.accounts, this.now);
+    private report(tokenBudget: LocalTokenBudget): void {
+        const report = tokenBudget.createReport(this.now, this.now, false);
+        const result = this.ledger.applyReport(report, ++this.index);
+        tokenBudget.applyAnswer(report.sequence, result.accounts, this.now);
     }
 
     private pickAccount(): string {
--- a/test/domain/upstreamEndStore.test.ts
+++ b/test/domain/upstreamEndStore.test.ts
@@ -8,60 +8,60 @@
     return { type: "recordUpstreamEnd", life, requests };
 }
 
-function listSuspects(book: UpstreamEndStore): string[] {
-    return book.getSuspects().map(({ fingerprint, isCulprit }) => `${fingerprint}${isCulprit ? "!" : ""}`);
+function listSuspects(store: UpstreamEndStore): string[] {
+    return store.getSuspects().map(({ fingerprint, isCulprit }) => `${fingerprint}${isCulprit ? "!" : ""}`);
 }
 
 void t.test("repeated reports of one end by several routers count as one end", async t => {
-    const book = new UpstreamEndStore();
+    const store = new UpstreamEndStore();
     [createRecord("a", "p"), createRecord("a", "xp", true), createRecord("a", "p")].forEach((record, i) =>
-        book.applyRecord(record, i + 1)
+        store.applyRecord(record, i + 1)
     );
-    t.same(listSuspects(book), []);
-    book.applyRecord(createRecord("b", "p"), 4);
-    book.applyRecord(createRecord("c", "p"), 5);
-    t.same(listSuspects(book), ["p!"]);
+    t.same(listSuspects(store), []);
+    store.applyRecord(createRecord("b", "p"), 4);
+    store.applyRecord(createRecord("c", "p"), 5);
+    t.same(listSuspects(store), ["p!"]);
 });
 
 void t.test("ends at one moment count once", async t => {
-    const book = new UpstreamEndStore();
-    book.applyRecord(createRecord("a", "p"), 1);
-    book.applyRecord(createRecord("x", "q"), 2);
-    book.applyRecord({ ...createRecord("b", "p"), togetherWith: "a" }, 3);
-    t.same(listSuspects(book), []);
-    book.applyRecord({ ...createRecord("c", "p"), togetherWith: "forgotten" }, 4);
-    t.same(listSuspects(book), ["p"]);
+    const store = new UpstreamEndStore();
+    store.applyRecord(createRecord("a", "p"), 1);
+    store.applyRecord(createRecord("x", "q"), 2);
+    store.applyRecord({ ...createRecord("b", "p"), togetherWith: "a" }, 3);
+    t.same(listSuspects(store), []);
+    store.applyRecord({ ...createRecord("c", "p"), togetherWith: "forgotten" }, 4);
+    t.same(listSuspects(store), ["p"]);
 });
 
 void t.test("a complete answer clears a request, and expired ends do not count", async t => {
-    const book = new UpstreamEndStore();
-    ["a", "b", "c"].forEach((life, i) => book.applyRecord(createRecord(life, "pi"), i + 1));
-    book.applyClear({ type: "clearRequests", fingerprints: ["i"] }, 4);
-    t.same(listSuspects(book), ["p!"]);
-    book.applyForget({ type: "forgetUpstreamEnds", upTo: 1 }, 5);
-    t.same(listSuspects(book), ["p"]);
-    t.equal(book.getEndIndex("a"), undefined);
-    t.equal(book.getLastIndex(), 5);
+    const store = new UpstreamEndStore();
+    ["a", "b", "c"].forEach((life, i) => store.applyRecord(createRecord(life, "pi"), i + 1));
+    store.applyClear({ type: "clearRequests", fingerprints: ["i"] }, 4);
+    t.same(listSuspects(store), ["p!"]);
+    store.applyForget({ type: "forgetUpstreamEnds", upTo: 1 }, 5);
+    t.same(listSuspects(store), ["p"]);
+    t.equal(store.getEndIndex("a"), undefined);
+    t.equal(store.getLastIndex(), 5);
 });
 
 void t.test("a snapshot restores the whole state", async t => {
-    const book = new UpstreamEndStore();
-    ["a", "b", "c"].forEach((life, i) => book.applyRecord(createRecord(life, "pi", life === "a"), i + 1));
+    const store = new UpstreamEndStore();
+    ["a", "b", "c"].forEach((life, i) => store.applyRecord(createRecord(life, "pi", life === "a"), i + 1));
     const copy = new UpstreamEndStore();
-    copy.loadSnapshot(JSON.parse(JSON.stringify(book.createSnapshot())) as ReturnType<typeof book.createSnapshot>);
-    t.same(copy.createSnapshot(), book.createSnapshot());
-    t.same(listSuspects(copy), listSuspects(book));
+    copy.loadSnapshot(JSON.parse(JSON.stringify(store.createSnapshot())) as ReturnType<typeof store.createSnapshot>);
+    t.same(copy.createSnapshot(), store.createSnapshot());
+    t.same(listSuspects(copy), listSuspects(store));
 });
 
 void t.test("made-up requests neither exhaust memory nor get another account's request refused", async t => {
-    const book = new UpstreamEndStore();
+    const store = new UpstreamEndStore();
     for (let i = 0; i < 1_000; i++) {
         const requests = Array.from({ length: 256 }, (_, j) => ({ fingerprint: `${i} ${j}`, hasBegun: true }));
-        book.applyRecord({ ...createRecord(`life ${i}`, "x"), requests }, 2 * i + 1);
-        book.applyRecord(createRecord(`life ${i}`, "abc"), 2 * i + 2);
+        store.applyRecord({ ...createRecord(`life ${i}`, "x"), requests }, 2 * i + 1);
+        store.applyRecord(createRecord(`life ${i}`, "abc"), 2 * i + 2);
     }
-    const { ends } = book.createSnapshot();
+    const { ends } = store.createSnapshot();
     t.equal(ends.length, 128);
     t.ok(ends.every(({ requests }) => requests.length <= 256));
-    t.same(listSuspects(book), []);
+    t.same(listSuspects(store), []);
 });
--- a/test/tools/budgetReplica.ts
+++ b/test/tools/budgetReplica.ts
@@ -27,19 +27,19 @@
     }
 }
 
-export function applyBudgetCommand(book: BudgetStore, command: Command): void {
+export function applyBudgetCommand(budgetStore: BudgetStore, command: Command): void {
     switch (command.type) {
         case "registerLedger":
-            book.applyRegisterLedger(command);
+            budgetStore.applyRegisterLedger(command);
             return;
         case "creditTopUp":
-            book.applyCreditTopUp(command);
+            budgetStore.applyCreditTopUp(command);
             return;
         case "allot":
-            book.applyAllot(command);
+            budgetStore.applyAllot(command);
             return;
         case "reportShares":
-            book.applyReportShares(command);
+            budgetStore.applyReportShares(command);
             return;
         default:
             throw new Error(`command type ${command.type} is not supported by the escrow simulation`);
--- a/test/tools/escrowSimulation.ts
+++ b/test/tools/escrowSimulation.ts
@@ -117,7 +117,7 @@
             this.controllers.push(this.createController(name));
         }
         for (const name of ["r1", "r2"]) {
-            this.routers.push({ name, grants: this.createGrantBook(name), generation: 0 });
+            this.routers.push({ name, grants: this.createGrantStore(name), generation: 0 });
         }
         for (const name of ["s1", "s2"]) {
             this.sidecars.push({ name, incarnation: 0, closedGrants: new Set(), runs: [], usageOutbox: [] });
@@ -221,7 +221,7 @@
         };
     }
 
-    private createGrantBook(router: string): GrantStore {
+    private createGrantStore(router: string): GrantStore {
         return new GrantStore(router, this.clock, () => undefined);
     }
 
@@ -435,7 +435,7 @@
 
     private crashRouter(router: RouterState): void {
         router.generation += 1;
-        router.grants = this.createGrantBook(router.name);
+        router.grants = this.createGrantStore(router.name);
     }
 
     /** Counts what the sidecar's runs consumed, loses its usage records and puts the runs' reservations on hold. */
--- a/test/tools/prepaidSimulation.ts
+++ b/test/tools/prepaidSimulation.ts
@@ -74,7 +74,7 @@
 interface RouterProcess {
     readonly incarnation: string;
     readonly startedAt: number;
-    readonly purse: LocalTokenBudget;
+    readonly tokenBudget: LocalTokenBudget;
     readonly reservations: Reservation[];
     isPartitioned: boolean;
 }
@@ -88,7 +88,7 @@
     /** Actual consumption by account. */
     readonly consumed = new Map<string, number>();
     readonly prepaid = new Map<string, number>();
-    private readonly book = new PrepaidLedger();
+    private readonly ledger = new PrepaidLedger();
     private readonly appendedAt: number[] = [0];
     /** Index of the first entry appended by the current leader. */
     private firstIndexOfLeader = 0;
@@ -179,7 +179,7 @@
     }
 
     private checkInvariants(): void {
-        this.book.checkConservation();
+        this.ledger.checkConservation();
         for (const [account, consumed] of this.consumed) {
             let maxConsumed = consumed;
             for (const routerProcess of this.routerProcesses.values()) {
@@ -199,20 +199,20 @@
 
     private applyLimits(): void {
         const limits = [...this.prepaid].map(([account, tokens]) => ({ account, tokens }));
-        this.book.applyLimits(limits);
-        this.routerProcesses.forEach(routerProcess => routerProcess.purse.setLimits(limits));
+        this.ledger.applyLimits(limits);
+        this.routerProcesses.forEach(routerProcess => routerProcess.tokenBudget.setLimits(limits));
     }
 
     private startRouter(router: string): void {
         this.processCount += 1;
         const incarnation = `i${this.processCount}`;
-        const purse = new LocalTokenBudget(router, incarnation, testTokenBudgetOptions);
+        const tokenBudget = new LocalTokenBudget(router, incarnation, testTokenBudgetOptions);
         const holders = this.holder === undefined ? ROUTERS.length : 1;
-        purse.setHoldings(() => ({ isHolder: this.isHolder(router), holders }));
+        tokenBudget.setHoldings(() => ({ isHolder: this.isHolder(router), holders }));
         this.routerProcesses.set(router, {
             incarnation,
             startedAt: this.now,
-            purse,
+            tokenBudget,
             reservations: [],
             isPartitioned: false,
         });
@@ -224,16 +224,21 @@
         const tokens = 1 + Math.floor(this.random() * MAX_REQUEST_TOKENS);
         const rank = this.pick(REQUEST_RANKS);
         const tryReserve = (): boolean => {
-            const outcome = routerProcess.purse.tryReserve(account, tokens, rank, this.now - routerProcess.startedAt);
+            const outcome = routerProcess.tokenBudget.tryReserve(
+                account,
+                tokens,
+                rank,
+                this.now - routerProcess.startedAt,
+            );
             if (outcome === "reserved") {
                 routerProcess.reservations.push({ account, tokens });
             }
             return outcome !== "short";
         };
         if (!tryReserve()) {
-            routerProcess.purse.addWaiting(account, tokens);
+            routerProcess.tokenBudget.addWaiting(account, tokens);
             this.report(routerProcess, false);
-            routerProcess.purse.addWaiting(account, -tokens);
+            routerProcess.tokenBudget.addWaiting(account, -tokens);
             tryReserve();
         }
     }
@@ -241,7 +246,7 @@
     private settleSome(routerProcess: RouterProcess): void {
         for (const reservation of routerProcess.reservations.splice(0, SETTLED_PER_STEP)) {
             const used = Math.floor(this.random() * (reservation.tokens + 1));
-            routerProcess.purse.settle(reservation.account, reservation.tokens, used);
+            routerProcess.tokenBudget.settle(reservation.account, reservation.tokens, used);
             this.consume(reservation.account, used);
         }
         if (this.holder !== undefined && !this.isHolder(this.findRouter(routerProcess))) {
@@ -251,10 +256,10 @@
 
     /** Returns unused loans to the holder; some returns are lost. */
     private returnLoans(routerProcess: RouterProcess, holder: RouterProcess): void {
-        for (const { account, tokens } of routerProcess.purse.listUnusedLoans()) {
-            routerProcess.purse.deductReturnedLoan(account, tokens);
+        for (const { account, tokens } of routerProcess.tokenBudget.listUnusedLoans()) {
+            routerProcess.tokenBudget.deductReturnedLoan(account, tokens);
             if (tokens % LOST_RETURN_DIVISOR !== 0) {
-                holder.purse.addReturnedLoan(account, tokens, this.now - holder.startedAt);
+                holder.tokenBudget.addReturnedLoan(account, tokens, this.now - holder.startedAt);
             }
         }
     }
@@ -264,7 +269,7 @@
     }
 
     private report(routerProcess: RouterProcess, closing: boolean): void {
-        const report = routerProcess.purse.createReport(
+        const report = routerProcess.tokenBudget.createReport(
             this.now - routerProcess.startedAt,
             this.getWallMs(this.findRouter(routerProcess)),
             closing,
@@ -276,7 +281,7 @@
         }
         const answer = this.applyReport(report);
         if (draw > 0.2) {
-            routerProcess.purse.applyAnswer(report.sequence, answer.accounts, this.now - routerProcess.startedAt);
+            routerProcess.tokenBudget.applyAnswer(report.sequence, answer.accounts, this.now - routerProcess.startedAt);
         }
         if (draw > 0.9) {
             this.applyReport(report);
@@ -285,7 +290,7 @@
 
     /** Applies a report like a leader, with a bound on the lifetime of the router's previous process. */
     private applyReport(report: PrepaidReportCommand): PrepaidResult {
-        const earlierReports = this.book.tryGetPredecessorReports(report.router, report.incarnation);
+        const earlierReports = this.ledger.tryGetPredecessorReports(report.router, report.incarnation);
         const index = this.appendedAt.length;
         const predecessor = earlierReports === undefined
             ? undefined
@@ -296,7 +301,7 @@
         this.appendedAt.push(this.now);
         this.appendedElapsedMs.push(this.getLeaderElapsedMs());
         this.appendedWallMs.push(CONTROLLERS.map(box => this.areClockStepsDetected ? undefined : this.getWallMs(box)));
-        return this.book.applyReport({ ...report, predecessor }, index);
+        return this.ledger.applyReport({ ...report, predecessor }, index);
     }
 
     private getEntryAge(index: number): EntryAge {
@@ -382,7 +387,12 @@
     private reserveUnreported(routerProcess: RouterProcess): void {
         const account = this.pick(ACCOUNTS);
         if (
-            routerProcess.purse.tryReserve(account, MAX_REQUEST_TOKENS, MOST_URGENT, this.now - routerProcess.startedAt)
+            routerProcess.tokenBudget.tryReserve(
+                account,
+                MAX_REQUEST_TOKENS,
+                MOST_URGENT,
+                this.now - routerProcess.startedAt,
+            )
                 === "reserved"
         ) {
             routerProcess.reservations.push({ account, tokens: MAX_REQUEST_TOKENS });
@@ -402,7 +412,7 @@
         const count = this.random() < 0.7 ? BURST_COUNT : 0;
         for (let i = 0; i < count; i++) {
             if (
-                routerProcess.purse.tryReserve(
+                routerProcess.tokenBudget.tryReserve(
                     account,
                     MAX_REQUEST_TOKENS,
                     MOST_URGENT,
@@ -433,7 +443,7 @@
         const tokens = 1 + Math.floor(this.random() * MAX_REQUEST_TOKENS);
         const lent = lender === borrower
             ? 0
-            : lender.purse.lend(
+            : lender.tokenBudget.lend(
                 account,
                 tokens,
                 this.pick(REQUEST_RANKS),
@@ -442,7 +452,7 @@
             );
         const draw = this.random();
         if (draw < ON_TIME_LOAN_FRACTION) {
-            borrower.purse.addBorrowed(account, lent);
+            borrower.tokenBudget.addBorrowed(account, lent);
         }
         else if (this.hasLateLoans && draw < DELIVERED_LOAN_FRACTION) {
             const delayMs = (draw - ON_TIME_LOAN_FRACTION) / (DELIVERED_LOAN_FRACTION - ON_TIME_LOAN_FRACTION)
@@ -457,7 +467,7 @@
         this.lateLoans = this.lateLoans.filter(({ dueAt }) => dueAt > this.now);
         for (const { borrower, account, tokens } of due) {
             if ([...this.routerProcesses.values()].includes(borrower)) {
-                borrower.purse.addBorrowed(account, tokens);
+                borrower.tokenBudget.addBorrowed(account, tokens);
             }
         }
     }
