--- a/src/daemons/standIn/standInEngine.ts
+++ b/src/daemons/standIn/standInEngine.ts
@@ -1,7 +1,6 @@
 /**
- * A stand-in for a model engine, for tests, replay and the quickstart: continuous batching with a slot limit and
- * priorities, a prompt cache of limited size, cancel and resume, late load reports, late and gappy cache events, and
- * fenced orders.
+ * Simulates a model engine for tests, replay and the quickstart: continuous batching with a slot limit and priorities, a
+ * bounded prompt cache, cancel and resume, delayed load reports, delayed and lossy cache events, and fenced orders.
  */
 import { fastify, type FastifyInstance, type FastifyReply, type FastifyRequest } from "fastify";
 import { parseAddress } from "../../adapters/rpc/tcpNetwork.js";
@@ -10,7 +9,7 @@
 import {
     countAnswerTokens,
     countPromptTokens,
-    getStandInLength,
+    getStandInAnswerLength,
     getStandInToken,
     type StandInMessage,
 } from "./standInAnswers.js";
@@ -26,13 +25,13 @@
     readonly continue_final_message?: boolean;
 }
 
-/** A fault that tests ask for. */
+/** A fault injected by a test. */
 export interface StandInFault {
-    /** Breaks the connection after this many tokens. */
+    /** Closes the connection after this many tokens. */
     readonly dropAfterTokens?: number;
-    /** Answers 500 before anything else. */
+    /** Responds with status 500 without generating anything. */
     readonly refuse?: boolean;
-    /** Requests it applies to, counted down. */
+    /** Number of requests that the fault still applies to. */
     count: number;
 }
 
@@ -51,7 +50,7 @@
     private readonly loads: { at: number; running: number; waiting: number; }[] = [];
     private fault: StandInFault | undefined;
     private order = { term: 0, revision: 0, model: "" };
-    private generated = 0;
+    private generatedTokens = 0;
     private randomState: number;
 
     constructor(private readonly settings: StandInEngineSettings) {
@@ -60,7 +59,7 @@
         this.addRoutes();
     }
 
-    /** Listens; answers its base URL. */
+    /** Starts listening and returns the base URL. */
     async start(): Promise<string> {
         const { host, port } = parseAddress(this.settings.listen);
         return this.app.listen({ host, port });
@@ -70,7 +69,7 @@
         await this.app.close();
     }
 
-    /** How often each request id was run. */
+    /** Returns the number of runs per request id. */
     getRunCounts(): ReadonlyMap<string, number> {
         return this.runCounts;
     }
@@ -81,43 +80,43 @@
 
     private addRoutes(): void {
         this.app.post("/v1/chat/completions", (request, reply) => this.complete(request, reply));
-        this.app.get("/load", () => this.getLateLoad());
-        this.app.get("/cache-events", () => ({ events: this.getLateCacheEvents() }));
+        this.app.get("/load", () => this.getDelayedLoad());
+        this.app.get("/cache-events", () => ({ events: this.getDelayedCacheEvents() }));
         this.app.get("/runs", () => Object.fromEntries(this.runCounts));
-        this.app.get("/generated", () => ({ tokens: this.generated }));
+        this.app.get("/generated", () => ({ tokens: this.generatedTokens }));
         this.app.get("/order", () => this.order);
         this.app.post("/faults", request => {
             this.fault = request.body as StandInFault;
             return {};
         });
-        this.app.post("/orders", (request, reply) => this.takeOrder(request, reply));
+        this.app.post("/orders", (request, reply) => this.handleOrder(request, reply));
     }
 
     private async complete(request: FastifyRequest, reply: FastifyReply): Promise<void> {
         const body = request.body as ChatBody;
-        const fault = this.takeFault();
+        const fault = this.consumeFault();
         if (fault?.refuse === true) {
-            await reply.status(500).send({ error: { message: "asked to refuse" } });
+            await reply.status(500).send({ error: { message: "injected fault" } });
             return;
         }
         reply.hijack();
-        const isGone = (): boolean => reply.raw.destroyed;
+        const isDisconnected = (): boolean => reply.raw.destroyed;
         await this.waitForSlot(body.priority ?? 0);
         try {
             this.countRun(String(request.headers["x-request-id"] ?? ""));
             reply.raw.writeHead(200, { "Content-Type": "text/event-stream" });
-            await this.generate(body, reply, isGone, fault?.dropAfterTokens ?? Infinity);
+            await this.generate(body, reply, isDisconnected, fault?.dropAfterTokens ?? Infinity);
         }
         finally {
             this.running -= 1;
-            this.startWaiting();
+            this.startNextQueued();
         }
     }
 
     private async generate(
         body: ChatBody,
         reply: FastifyReply,
-        isGone: () => boolean,
+        isDisconnected: () => boolean,
         dropAfter: number,
     ): Promise<void> {
         const resumed = body.continue_final_message === true;
@@ -125,22 +124,22 @@
         const from = resumed ? countAnswerTokens(String(body.messages[body.messages.length - 1]?.content ?? "")) : 0;
         const promptTokens = countPromptTokens(messages) + from;
         await this.prefill(messages, promptTokens);
-        const end = Math.min(getStandInLength(messages), from + (body.max_tokens ?? Infinity));
+        const end = Math.min(getStandInAnswerLength(messages), from + (body.max_tokens ?? Infinity));
         const head = { id: "stand-in", object: "chat.completion.chunk", created: 0, model: body.model };
-        for (let index = from; index < end && !isGone(); index++) {
+        for (let index = from; index < end && !isDisconnected(); index++) {
             if (index - from >= dropAfter) {
                 reply.raw.destroy();
                 return;
             }
             const delta = { ...(index === 0 ? { role: "assistant" } : {}), content: getStandInToken(messages, index) };
             const usage = { prompt_tokens: promptTokens, completion_tokens: index - from + 1 };
-            this.generated += 1;
+            this.generatedTokens += 1;
             reply.raw.write(
                 `data: ${JSON.stringify({ ...head, choices: [{ index: 0, delta, finish_reason: null }], usage })}\n\n`,
             );
             await wait(this.settings.tokenMs);
         }
-        const reason = end < getStandInLength(messages) ? "length" : "stop";
+        const reason = end < getStandInAnswerLength(messages) ? "length" : "stop";
         const usage = { prompt_tokens: promptTokens, completion_tokens: Math.max(0, end - from) };
         reply.raw.write(
             `data: ${
@@ -184,7 +183,7 @@
         });
     }
 
-    private startWaiting(): void {
+    private startNextQueued(): void {
         this.recordLoad();
         if (this.waiting.length === 0 || this.running >= this.settings.slots) {
             return;
@@ -201,13 +200,13 @@
         }
     }
 
-    private getLateLoad(): { running: number; waiting: number; } {
+    private getDelayedLoad(): { running: number; waiting: number; } {
         const before = performance.now() - this.settings.reportLagMs;
         const late = this.loads.filter(load => load.at <= before).pop();
         return { running: late?.running ?? 0, waiting: late?.waiting ?? 0 };
     }
 
-    private getLateCacheEvents(): string[] {
+    private getDelayedCacheEvents(): string[] {
         const before = performance.now() - this.settings.reportLagMs;
         return this.cacheEvents.filter(event => event.at <= before).map(event => event.prompt);
     }
@@ -218,7 +217,7 @@
         }
     }
 
-    private takeFault(): StandInFault | undefined {
+    private consumeFault(): StandInFault | undefined {
         if (this.fault === undefined || this.fault.count <= 0) {
             return undefined;
         }
@@ -226,7 +225,7 @@
         return this.fault;
     }
 
-    private async takeOrder(request: FastifyRequest, reply: FastifyReply): Promise<void> {
+    private async handleOrder(request: FastifyRequest, reply: FastifyReply): Promise<void> {
         const order = request.body as { term: number; revision: number; model: string; };
         if (this.settings.checksOrders && order.term < this.order.term) {
             await reply.status(409).send({ error: { message: `term ${order.term} is lower than ${this.order.term}` } });
@@ -236,7 +235,7 @@
         await reply.send({});
     }
 
-    /** A small linear generator: seeded, so that the same settings lose the same events. */
+    /** A seeded linear congruential generator, so that equal settings lose the same events. */
     private getRandom(): number {
         this.randomState = (Math.imul(this.randomState, 1664525) + 1013904223) >>> 0;
         return this.randomState / 2 ** 32;
--- a/src/daemons/standIn/standInPlatform.ts
+++ b/src/daemons/standIn/standInPlatform.ts
@@ -1,4 +1,4 @@
-/** A stand-in for the platform's list of boxes; it tells of changes late. */
+/** Simulates the platform's list of boxes; changes become visible after a lag. */
 import { fastify, type FastifyInstance } from "fastify";
 import { parseAddress } from "../../adapters/rpc/tcpNetwork.js";
 import type { StandInPlatformSettings } from "../../settings/schemas.js";
@@ -11,7 +11,7 @@
 
     constructor(private readonly settings: StandInPlatformSettings) {
         this.app = fastify({ forceCloseConnections: true });
-        this.app.get("/boxes", () => ({ boxes: this.getLateList() }));
+        this.app.get("/boxes", () => ({ boxes: this.getDelayedList() }));
         this.app.put("/boxes/:name/:state", request => {
             const { name, state } = request.params as { name: string; state: BoxState; };
             this.setState(name, state);
@@ -20,7 +20,7 @@
         settings.boxes.forEach(name => this.changes.push({ at: -Infinity, name, state: "live" }));
     }
 
-    /** Listens; answers its base URL. */
+    /** Starts listening and returns the base URL. */
     async start(): Promise<string> {
         const { host, port } = parseAddress(this.settings.listen);
         return this.app.listen({ host, port });
@@ -34,7 +34,7 @@
         this.changes.push({ at: performance.now(), name, state });
     }
 
-    private getLateList(): { name: string; state: BoxState; }[] {
+    private getDelayedList(): { name: string; state: BoxState; }[] {
         const before = performance.now() - this.settings.lagMs;
         const states = new Map<string, BoxState>();
         for (const change of this.changes) {
--- a/src/daemons/standIn/standInService.ts
+++ b/src/daemons/standIn/standInService.ts
@@ -1,4 +1,4 @@
-/** A stand-in for a plain service: answers any call, and counts how often each request id ran. */
+/** Simulates a plain service: answers any call and counts the runs per request id. */
 import { fastify, type FastifyInstance } from "fastify";
 import { parseAddress } from "../../adapters/rpc/tcpNetwork.js";
 import type { StandInServiceSettings } from "../../settings/schemas.js";
@@ -20,7 +20,7 @@
         });
     }
 
-    /** Listens; answers its base URL. */
+    /** Starts listening and returns the base URL. */
     async start(): Promise<string> {
         const { host, port } = parseAddress(this.settings.listen);
         return this.app.listen({ host, port });
@@ -30,7 +30,7 @@
         await this.app.close();
     }
 
-    /** How often each request id ran. */
+    /** Returns the number of runs per request id. */
     getRunCounts(): ReadonlyMap<string, number> {
         return this.runCounts;
     }
