--- a/src/daemons/sidecar/run.ts
+++ b/src/daemons/sidecar/run.ts
@@ -1,4 +1,4 @@
-/** One run at a sidecar: its answer so far, who listens to it, and how far each listener has read. */
+/** A run on a sidecar: the buffered answer, its listeners, and the position that each has acknowledged. */
 import { Signal } from "../../consensus/signal.js";
 import { createRefusal, type Refusal } from "../../domain/resultCodes.js";
 import type { Peer } from "../../ports/peer.js";
@@ -11,63 +11,63 @@
     type StartRunParams,
 } from "../../protocol/runMethods.js";
 
-/** Pieces a listener may lie behind before the engine's stream is held up. */
-export const READ_AHEAD_PIECES = 256;
+/** Pieces the slowest listener may leave unacknowledged before reading from the upstream pauses. */
+export const MAX_UNACKED_PIECES = 256;
 
 interface Listener {
     readonly peer: Peer;
     readonly id: string;
-    /** Takes back the handler that watches for the peer's loss. */
-    stopWatching: () => void;
-    /** Position up to which the listener has passed the answer on. */
+    /** Removes the handler for the close of the peer's connection. */
+    removeCloseHandler: () => void;
+    /** Position up to which the listener has acknowledged the answer. */
     acked: number;
 }
 
 export class Run {
-    /** The pieces from `firstKept` on. */
+    /** The retained pieces; the first is at position `firstRetained`. */
     private pieces: AnswerPiece[] = [];
-    private firstKept: number;
+    private firstRetained: number;
     private position: number;
-    private keptBytes = 0;
+    private retainedBytes = 0;
     private readonly listeners = new Set<Listener>();
     private readonly changed = new Signal();
     private end: Omit<RunEnd, "listener"> | undefined;
     private promptTokens: number | undefined;
     private outputTokens = 0;
-    private exactOutput: number | undefined;
+    private reportedOutputTokens: number | undefined;
     readonly abort = new AbortController();
-    /** Why the run was cancelled, where it was. */
-    cancelledBy: Refusal | undefined;
+    /** Undefined unless the run was cancelled. */
+    cancelReason: Refusal | undefined;
     /** Monotonic clock, milliseconds. */
     endedAt: number | undefined;
 
     constructor(readonly params: StartRunParams, readonly enqueuedAt: number) {
         this.position = params.request.type === "chat" ? params.request.resumeFrom : 0;
-        this.firstKept = this.position;
+        this.firstRetained = this.position;
     }
 
     isEnded(): boolean {
         return this.end !== undefined;
     }
 
-    /** Whether the answer can still be had from `position` on. */
-    hasFrom(position: number): boolean {
-        return position >= this.firstKept;
+    /** Returns whether the answer is retained from `position` on. */
+    isRetainedFrom(position: number): boolean {
+        return position >= this.firstRetained;
     }
 
-    getKeptBytes(): number {
-        return this.keptBytes;
+    getRetainedBytes(): number {
+        return this.retainedBytes;
     }
 
     hasListeners(): boolean {
         return this.listeners.size > 0;
     }
 
-    /** Adds a listener and sends it what there is from `from` on. */
+    /** Adds a listener and sends it the retained pieces from `from` on. */
     addListener(peer: Peer, id: string, from: number): void {
-        const listener: Listener = { peer, id, acked: from, stopWatching: () => undefined };
+        const listener: Listener = { peer, id, acked: from, removeCloseHandler: () => undefined };
         this.listeners.add(listener);
-        const pieces = this.pieces.slice(from - this.firstKept);
+        const pieces = this.pieces.slice(from - this.firstRetained);
         if (pieces.length > 0) {
             this.sendChunk(listener, from, pieces);
         }
@@ -75,11 +75,11 @@
             peer.notify(runEndMethod, { ...this.end, listener: id });
             return;
         }
-        listener.stopWatching = peer.onClose(() => this.loseListener(listener));
+        listener.removeCloseHandler = peer.onClose(() => this.handleListenerClosed(listener));
     }
 
-    /** A listener's connection is gone. A run that nobody can come back for ends with its last one. */
-    private loseListener(listener: Listener): void {
+    /** Removes a listener whose connection closed. Cancels the run after the last one if it cannot be reattached to. */
+    private handleListenerClosed(listener: Listener): void {
         this.listeners.delete(listener);
         if (this.params.cancelWhenLost && this.listeners.size === 0) {
             this.cancel();
@@ -93,53 +93,56 @@
                 listener.acked = Math.max(listener.acked, position);
             }
         }
-        this.dropRead();
+        this.evictAcked();
         this.changed.notifyAll();
     }
 
-    /** Adds what came from the upstream and passes it on. */
+    /** Buffers an event from the upstream and sends its pieces to the listeners. */
     addEvent(event: UpstreamEvent): void {
         this.promptTokens = event.promptTokens ?? this.promptTokens;
-        this.exactOutput = event.outputTokens ?? this.exactOutput;
+        this.reportedOutputTokens = event.outputTokens ?? this.reportedOutputTokens;
         if (event.pieces.length === 0) {
             return;
         }
         const from = this.position;
         for (const piece of event.pieces) {
             this.pieces.push(piece);
-            this.keptBytes += getPieceBytes(piece);
+            this.retainedBytes += getPieceBytes(piece);
             this.outputTokens += isToken(piece) ? 1 : 0;
         }
         this.position += event.pieces.length;
         for (const listener of this.listeners) {
             this.sendChunk(listener, from, event.pieces);
         }
-        this.dropRead();
+        this.evictAcked();
     }
 
-    /** Waits until the slowest listener has read on. Answers false when none has for `stallMs`. */
-    async waitReadable(stallMs: number): Promise<boolean> {
-        while (this.isFarAhead() && !this.abort.signal.aborted) {
-            const acked = this.getSlowestAck();
+    /**
+     * Waits until the slowest listener is within the limit of unacknowledged pieces. Returns false if it makes no progress
+     * for `stallMs`.
+     */
+    async waitForAcks(stallMs: number): Promise<boolean> {
+        while (this.exceedsUnackedLimit() && !this.abort.signal.aborted) {
+            const acked = this.getLowestAck();
             await this.changed.wait(stallMs);
-            if (this.isFarAhead() && this.getSlowestAck() === acked) {
+            if (this.exceedsUnackedLimit() && this.getLowestAck() === acked) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Output tokens: the engine's count where it gave one, else one for each piece with text. */
+    /** Returns the engine's count of output tokens if reported, otherwise the number of pieces with content. */
     getOutputTokens(): number {
-        return this.exactOutput ?? this.outputTokens;
+        return this.reportedOutputTokens ?? this.outputTokens;
     }
 
-    /** The engine's count of the prompt, if it has told it. */
+    /** Returns the engine's count of prompt tokens, if reported. */
     tryGetPromptTokens(): number | undefined {
         return this.promptTokens;
     }
 
-    /** Ends the run and tells its listeners. */
+    /** Ends the run and notifies its listeners. */
     finish(
         consumed: { promptTokens: number; outputTokens: number; },
         waitedMs: number,
@@ -155,15 +158,15 @@
         };
         this.endedAt = now;
         for (const listener of this.listeners) {
-            listener.stopWatching();
+            listener.removeCloseHandler();
             listener.peer.notify(runEndMethod, { ...this.end, listener: listener.id });
         }
         this.changed.notifyAll();
     }
 
     cancel(reason: Refusal = createRefusal("runCancelled", undefined, "yes")): void {
-        if (this.end === undefined && this.cancelledBy === undefined) {
-            this.cancelledBy = reason;
+        if (this.end === undefined && this.cancelReason === undefined) {
+            this.cancelReason = reason;
             this.abort.abort();
             this.changed.notifyAll();
         }
@@ -180,24 +183,24 @@
         });
     }
 
-    /** Drops what every listener has had, unless the answer is kept for callers that come back. */
-    private dropRead(): void {
+    /** Evicts pieces that every listener has acknowledged, unless the answer is retained for callers that reconnect. */
+    private evictAcked(): void {
         if (this.params.keep || this.listeners.size === 0) {
             return;
         }
-        const read = Math.min(this.getSlowestAck(), this.position) - this.firstKept;
-        if (read > 0) {
-            const dropped = this.pieces.splice(0, read);
-            dropped.forEach(piece => this.keptBytes -= getPieceBytes(piece));
-            this.firstKept += read;
+        const ackedCount = Math.min(this.getLowestAck(), this.position) - this.firstRetained;
+        if (ackedCount > 0) {
+            const dropped = this.pieces.splice(0, ackedCount);
+            dropped.forEach(piece => this.retainedBytes -= getPieceBytes(piece));
+            this.firstRetained += ackedCount;
         }
     }
 
-    private isFarAhead(): boolean {
-        return this.listeners.size > 0 && this.position - this.getSlowestAck() > READ_AHEAD_PIECES;
+    private exceedsUnackedLimit(): boolean {
+        return this.listeners.size > 0 && this.position - this.getLowestAck() > MAX_UNACKED_PIECES;
     }
 
-    private getSlowestAck(): number {
+    private getLowestAck(): number {
         let slowest = Infinity;
         this.listeners.forEach(listener => slowest = Math.min(slowest, listener.acked));
         return slowest;
@@ -211,7 +214,7 @@
     return "delta" in piece ? 48 + String(piece.delta["content"] ?? "").length : 256;
 }
 
-/** Whether a piece counts as a token where the engine does not tell its own count. */
+/** Returns whether a piece counts as a token if the engine does not report its own count. */
 function isToken(piece: AnswerPiece): boolean {
     return "delta" in piece && Object.keys(piece.delta).some(key => key !== "role" && piece.delta[key] !== "");
 }
--- a/src/daemons/sidecar/runTable.ts
+++ b/src/daemons/sidecar/runTable.ts
@@ -1,18 +1,18 @@
-/** The runs of one sidecar by run id and by request id, and for how long ended ones are kept. */
+/** Indexes the runs of a sidecar by run id and request id, and evicts ended runs by age and size. */
 import type { Run } from "./run.js";
 
-/** What ended runs may hold in all, in bytes. */
-export const MAX_KEPT_BYTES = 64 * 1024 * 1024;
+/** Limit on the answers of all ended runs together, in bytes. */
+export const MAX_RETAINED_BYTES = 64 * 1024 * 1024;
 
-/** How long an answer nobody can come back for is kept, for a router that lost its connection. Milliseconds. */
-const REATTACH_MS = 3_000;
+/** Retention, in milliseconds, of answers that callers cannot reattach to: lets a router reconnect. */
+const REATTACH_RETENTION_MS = 3_000;
 
 export class RunTable {
     private readonly byRun = new Map<string, Run>();
     private readonly byRequest = new Map<string, Run>();
 
-    /** `keepMs`: how long an answer is kept for callers that come back. */
-    constructor(private readonly keepMs: number) {}
+    /** `retentionMs`: how long an answer is retained for callers that reconnect. */
+    constructor(private readonly retentionMs: number) {}
 
     add(run: Run): void {
         this.byRun.set(run.params.runId, run);
@@ -23,8 +23,8 @@
         return this.byRun.get(runId);
     }
 
-    /** The newest run of a request. */
-    tryGetRequest(requestId: string): Run | undefined {
+    /** Returns the latest run of a request. */
+    tryGetLatestRun(requestId: string): Run | undefined {
         return this.byRequest.get(requestId);
     }
 
@@ -32,7 +32,7 @@
         return this.byRun.size;
     }
 
-    /** Runs that have not ended. */
+    /** Returns the runs that have not ended. */
     getActive(): Run[] {
         return [...this.byRun.values()].filter(run => !run.isEnded());
     }
@@ -44,14 +44,14 @@
         }
     }
 
-    /** Drops ended runs that are too old, and the oldest of the rest while they hold too much. */
-    removeOld(now: number): void {
+    /** Evicts ended runs past their retention, then the oldest ones beyond MAX_RETAINED_BYTES. */
+    evictEnded(now: number): void {
         let bytes = 0;
         const ended = [...this.byRun.values()].filter(run => run.isEnded()).reverse();
         for (const run of ended) {
-            bytes += run.getKeptBytes();
-            const keepMs = run.params.keep ? this.keepMs : Math.min(this.keepMs, REATTACH_MS);
-            if (now - run.endedAt! > keepMs || bytes > MAX_KEPT_BYTES) {
+            bytes += run.getRetainedBytes();
+            const retentionMs = run.params.keep ? this.retentionMs : Math.min(this.retentionMs, REATTACH_RETENTION_MS);
+            if (now - run.endedAt! > retentionMs || bytes > MAX_RETAINED_BYTES) {
                 this.remove(run);
             }
         }
--- a/src/daemons/sidecar/sidecarDaemon.ts
+++ b/src/daemons/sidecar/sidecarDaemon.ts
@@ -1,4 +1,4 @@
-/** One sidecar: the only way to the upstreams of its box. */
+/** The sidecar: runs every request to the upstreams of its box. */
 import type { UsageRecord } from "../../domain/billStore.js";
 import type { ConfigView, Upstream } from "../../domain/configView.js";
 import { getOwnerPrefix } from "../../domain/identifiers.js";
@@ -29,27 +29,27 @@
 import type { ControllerAddress } from "../controllerAddress.js";
 import { RepeatingTask } from "../task.js";
 import { UsageOutbox } from "../usageOutbox.js";
-import { OrderGate } from "./orderGate.js";
+import { OrderFence } from "./orderGate.js";
 import { Run } from "./run.js";
 import { RunTable } from "./runTable.js";
 import { UpstreamRunner } from "./upstreamRunner.js";
 import { WitnessStore } from "./witnessStore.js";
 
 const FLUSH_PERIOD_MS = 20;
-const CLEAN_PERIOD_MS = 1_000;
-const DRAIN_TURN_MS = 50;
-/** Closed grants remembered; one is forgotten long after its router's last use of it. */
-const CLOSED_GRANTS_KEPT = 100_000;
+const EVICTION_PERIOD_MS = 1_000;
+const DRAIN_POLL_PERIOD_MS = 50;
+/** Large enough that no router still uses a grant by the time it is evicted. */
+const MAX_CLOSED_GRANTS = 100_000;
 const DRAINING_RETRY_MS = 200;
 
-/** What a sidecar is told by its settings. Times in milliseconds. */
+/** Options from the settings. Durations are in milliseconds. */
 export interface SidecarOptions {
     readonly box: string;
     readonly incarnation: string;
     readonly controllers: readonly ControllerAddress[];
     readonly keepAnswersMs: number;
     readonly indexKeepMs: number;
-    /** Longest that a planned stop waits for runs to end. */
+    /** Maximum time that a planned stop waits for runs to end. */
     readonly drainMs: number;
     readonly createClient: (upstream: Upstream) => UpstreamClient;
 }
@@ -60,8 +60,8 @@
     private readonly index: RequestIndex;
     private readonly outbox: UsageOutbox;
     private readonly witnesses = new WitnessStore();
-    private readonly orders: OrderGate;
-    private readonly claimants = new WeakSet<Peer>();
+    private readonly orderFence: OrderFence;
+    private readonly watchedPeers = new WeakSet<Peer>();
     private readonly closedGrants = new Set<string>();
     private readonly tasks: RepeatingTask[];
     private readonly view: ConfigView;
@@ -81,10 +81,10 @@
         this.table = new RunTable(options.keepAnswersMs);
         this.index = new RequestIndex(options.indexKeepMs);
         this.outbox = new UsageOutbox(options.controllers, network);
-        this.orders = new OrderGate(this.view);
+        this.orderFence = new OrderFence(this.view);
         this.tasks = [
             new RepeatingTask("usage", clock, log, FLUSH_PERIOD_MS, () => this.outbox.flush()),
-            new RepeatingTask("clean", clock, log, CLEAN_PERIOD_MS, async () => this.clean()),
+            new RepeatingTask("clean", clock, log, EVICTION_PERIOD_MS, async () => this.evictExpired()),
         ];
         this.addHandlers(handlers);
         config.onChange(() => this.applyConfig());
@@ -98,13 +98,13 @@
         this.tasks.forEach(task => task.start());
     }
 
-    /** A planned stop: takes nothing new, lets every run end, hands every usage record over. */
+    /** Stops as planned: rejects new runs, and waits for active runs to end and usage records to be delivered. */
     async stop(): Promise<void> {
         this.stopping = true;
         this.applyConfig();
         const deadline = this.clock.getMonotonicMs() + this.options.drainMs;
         while (!this.isDrained() && this.clock.getMonotonicMs() < deadline) {
-            await this.clock.wait(DRAIN_TURN_MS);
+            await this.clock.wait(DRAIN_POLL_PERIOD_MS);
         }
         this.log.info("sidecar_drained", {
             runs_left: this.table.getActive().length,
@@ -140,7 +140,7 @@
         });
         handlers.add(closeGrantMethod, params => this.closeGrants(params.grants));
         handlers.add(claimMethod, (params, peer) => {
-            this.watchClaims(peer);
+            this.releaseClaimsOnClose(peer);
             return this.index.claim(params.requestId, params.digest, params.owner, this.clock.getMonotonicMs());
         });
         handlers.add(placeMethod, params => {
@@ -156,20 +156,20 @@
             this.index.releaseClaim(params.requestId, params.owner);
         });
         handlers.add(holdWitnessMethod, params => {
-            this.witnesses.hold(params);
+            this.witnesses.add(params);
         });
-        handlers.add(listWitnessMethod, params => ({ topUps: this.witnesses.getOf(params.controller) }));
+        handlers.add(listWitnessMethod, params => ({ topUps: this.witnesses.listByController(params.controller) }));
         handlers.add(orderMethod, async order => {
-            this.orders.check(order);
+            this.orderFence.check(order);
             await this.getRunner(order.upstream).client.giveOrder(order);
             this.log.info("order_given", { upstream: order.upstream, model: order.model, term: order.term });
         });
     }
 
-    /** When a router is gone, so are its claims that it had not placed. */
-    private watchClaims(peer: Peer): void {
-        if (!this.claimants.has(peer)) {
-            this.claimants.add(peer);
+    /** Releases a router's undispatched claims when its connection closes. */
+    private releaseClaimsOnClose(peer: Peer): void {
+        if (!this.watchedPeers.has(peer)) {
+            this.watchedPeers.add(peer);
             peer.onClose(() => this.index.releaseUndispatchedClaims(getOwnerPrefix(peer.identity)));
         }
     }
@@ -181,11 +181,11 @@
         }
         if (this.outbox.isFull()) {
             throw new RefusalError(
-                createRefusal("queueFull", "too many usage records wait for their ledgers", "no", 1000),
+                createRefusal("queueFull", "too many usage records are not yet delivered to their ledgers", "no", 1000),
             );
         }
         this.checkNotRunning(params);
-        runner.check(params);
+        runner.checkAdmission(params);
         const run = new Run(params, this.clock.getMonotonicMs());
         this.table.add(run);
         run.addListener(peer, params.listener, params.request.type === "chat" ? params.request.resumeFrom : 0);
@@ -193,9 +193,9 @@
         return { load: runner.getLoad(params) };
     }
 
-    /** The same run twice is a fault of the sender; the same request again is refused while its run is going on. */
+    /** Rejects a request id that is reused with another digest, or whose run is still active. */
     private checkNotRunning(params: StartRunParams): void {
-        const known = this.table.tryGetRequest(params.requestId);
+        const known = this.table.tryGetLatestRun(params.requestId);
         if (known === undefined) {
             return;
         }
@@ -203,7 +203,9 @@
             throw new RefusalError(createRefusal("requestIdReused"));
         }
         if (!known.isEnded()) {
-            throw new RefusalError(createRefusal("outcomeUnknown", "the request is running here", "unknown", 200));
+            throw new RefusalError(
+                createRefusal("outcomeUnknown", "the request is still running on this sidecar", "unknown", 200),
+            );
         }
     }
 
@@ -211,8 +213,8 @@
         params: { requestId: string; listener: string; digest: string; from: number; },
         peer: Peer,
     ): { runId: string; } {
-        const run = this.table.tryGetRequest(params.requestId);
-        if (run === undefined || !run.hasFrom(params.from)) {
+        const run = this.table.tryGetLatestRun(params.requestId);
+        if (run === undefined || !run.isRetainedFrom(params.from)) {
             throw new RefusalError(createRefusal("answerNotKept", undefined, run === undefined ? "unknown" : "yes"));
         }
         if (run.params.digest !== params.digest) {
@@ -227,7 +229,7 @@
         for (const grant of grants) {
             this.closedGrants.add(grant);
         }
-        while (this.closedGrants.size > CLOSED_GRANTS_KEPT) {
+        while (this.closedGrants.size > MAX_CLOSED_GRANTS) {
             this.closedGrants.delete(this.closedGrants.values().next().value!);
         }
         const active = this.table.getActive().map(run => run.params.grant).filter(grant => asked.has(grant));
@@ -243,13 +245,13 @@
         return entry.runner;
     }
 
-    /** Brings the runners in line with what is declared, and with what the platform and a planned stop say. */
+    /** Reconciles the runners with the configuration, the platform's list of boxes, and a planned stop. */
     private applyConfig(): void {
         const wanted = this.view.getAllUpstreams().filter(upstream => upstream.box === this.options.box);
         for (const upstream of wanted) {
             const runner = this.getOrCreateRunner(upstream);
             runner.setUpstream(upstream, this.view.getRankRules(upstream.service));
-            const refusal = this.tryGetClosing(upstream);
+            const refusal = this.tryGetClosingRefusal(upstream);
             if (refusal === undefined) {
                 runner.open();
             }
@@ -265,7 +267,7 @@
         }
     }
 
-    private tryGetClosing(upstream: Upstream): Refusal | undefined {
+    private tryGetClosingRefusal(upstream: Upstream): Refusal | undefined {
         if (this.stopping || this.boxLeaving || upstream.leaving) {
             return createRefusal("draining", upstream.name, "no", DRAINING_RETRY_MS);
         }
@@ -286,8 +288,8 @@
         return runner;
     }
 
-    private clean(): void {
-        this.table.removeOld(this.clock.getMonotonicMs());
+    private evictExpired(): void {
+        this.table.evictEnded(this.clock.getMonotonicMs());
         this.metrics.setGauge("sidecar.usage_waiting", this.outbox.getSize());
         this.metrics.setGauge("sidecar.kept_runs", this.table.getSize());
     }
--- a/src/daemons/sidecar/upstreamRunner.ts
+++ b/src/daemons/sidecar/upstreamRunner.ts
@@ -1,4 +1,4 @@
-/** The runs of one upstream: takes them in, queues them by rank, runs them, and writes their usage records. */
+/** Admits the runs of one upstream, queues them by rank, executes them, and records their usage. */
 import { createUsageRecord, type UsageRecord } from "../../domain/billStore.js";
 import type { RankRule, Upstream } from "../../domain/configView.js";
 import { type QueueEntry, RankQueue } from "../../domain/rankQueue.js";
@@ -11,24 +11,24 @@
 import type { SidecarLoad, StartRunParams } from "../../protocol/runMethods.js";
 import type { Run } from "./run.js";
 
-/** Longest estimated wait for which a run is queued, in milliseconds. */
+/** Maximum estimated wait of a run that is queued. */
 const MAX_WAIT_MS = 60_000;
 const MAX_QUEUE_LENGTH = 2_000;
-/** Least time after which a caller that was refused for its deadline should come back, in milliseconds: a run or two. */
-const SHORTEST_RETRY_MS = 100;
-/** How long a listener may read nothing before its run is given up. */
+/** Minimum retry-after for a run rejected for its deadline: the time of one or two runs. */
+const MIN_RETRY_AFTER_MS = 100;
+/** How long the slowest listener may acknowledge nothing before its run is cancelled. */
 const LISTENER_STALL_MS = 30_000;
 
-interface WaitingRun extends QueueEntry {
+interface QueuedRun extends QueueEntry {
     readonly run: Run;
     readonly start: () => void;
     readonly refuse: (refusal: Refusal) => void;
 }
 
 export class UpstreamRunner {
-    private readonly queue: RankQueue<WaitingRun>;
-    private closedBy: Refusal | undefined;
-    private readonly rests = new UpstreamBackoffs();
+    private readonly queue: RankQueue<QueuedRun>;
+    private closeRefusal: Refusal | undefined;
+    private readonly backoffs = new UpstreamBackoffs();
 
     constructor(
         private upstream: Upstream,
@@ -39,26 +39,26 @@
         private readonly recordUsage: (record: UsageRecord) => void,
     ) {
         this.queue = new RankQueue(upstream.slots);
-        client.onRest(rest => this.receiveRest(rest));
+        client.onRest(rest => this.handleBackoffRequest(rest));
     }
 
-    /** Takes a changed declaration over. */
+    /** Applies a changed configuration of the upstream. */
     setUpstream(upstream: Upstream, rules: readonly RankRule[]): void {
         this.upstream = upstream;
         const keptShares = new Map<number, number>();
         rules.forEach(rule => keptShares.set(rule.rank, Math.max(rule.keptShare, keptShares.get(rule.rank) ?? 0)));
         this.queue.setSlots(upstream.slots, keptShares);
-        this.startWaiting();
+        this.startQueued();
     }
 
-    /** Takes no new runs from now on, and gives those that only wait back. */
+    /** Rejects new runs from now on, and the queued ones with `refusal`. */
     close(refusal: Refusal): void {
-        this.closedBy = refusal;
+        this.closeRefusal = refusal;
         this.queue.removeAll().forEach(entry => entry.refuse(refusal));
     }
 
     open(): void {
-        this.closedBy = undefined;
+        this.closeRefusal = undefined;
     }
 
     isIdle(): boolean {
@@ -75,32 +75,37 @@
         };
     }
 
-    /** Refuses at once what would come too late or cannot be queued. */
-    check(params: StartRunParams): void {
-        if (this.closedBy !== undefined) {
-            throw new RefusalError(this.closedBy);
+    /** Rejects a run that cannot be queued or would miss its deadline. */
+    checkAdmission(params: StartRunParams): void {
+        if (this.closeRefusal !== undefined) {
+            throw new RefusalError(this.closeRefusal);
         }
-        const restMs = this.getRestMs();
-        if (restMs > 0) {
-            throw new RefusalError(createRestRefusal(restMs));
+        const backoffMs = this.getRemainingBackoffMs();
+        if (backoffMs > 0) {
+            throw new RefusalError(createBackoffRefusal(backoffMs));
         }
         const waitMs = this.getLoad(params).waitMs;
         const { rank, ageingMs, deadlineMs } = params;
         if (!this.queue.canFinishWithin(deadlineMs, rank, ageingMs, this.clock.getMonotonicMs())) {
-            const backAfterMs = Math.max(0, waitMs - deadlineMs) + SHORTEST_RETRY_MS;
+            const retryAfterMs = Math.max(0, waitMs - deadlineMs) + MIN_RETRY_AFTER_MS;
             throw new RefusalError(
-                createRefusal("deadlineTooClose", `estimated wait ${waitMs} ms`, "no", backAfterMs),
+                createRefusal("deadlineTooClose", `estimated wait ${waitMs} ms`, "no", retryAfterMs),
             );
         }
         if (waitMs > MAX_WAIT_MS || this.queue.getWaitingCount() >= MAX_QUEUE_LENGTH) {
             throw new RefusalError(
-                createRefusal("queueFull", `${this.queue.getWaitingCount()} waiting`, "no", Math.max(1000, waitMs / 2)),
+                createRefusal(
+                    "queueFull",
+                    `${this.queue.getWaitingCount()} runs queued`,
+                    "no",
+                    Math.max(1000, waitMs / 2),
+                ),
             );
         }
     }
 
-    /** Gives what only waits back: another upstream of the service may take it before the rest is over. */
-    private receiveRest({ restMs, said }: AskedRest): void {
+    /** Applies a requested backoff. Rejects queued runs, so that the router can send them to another upstream. */
+    private handleBackoffRequest({ restMs, said }: AskedRest): void {
         const { name } = this.upstream;
         if (restMs === undefined) {
             this.log.warn("upstream_signal_unreadable", { upstream: name, said });
@@ -108,20 +113,20 @@
         }
         this.metrics.addCount("sidecar.upstream_rests");
         this.log.info("upstream_rest", { upstream: name, rest_ms: restMs });
-        this.rests.record({ id: name }, restMs, this.clock.getMonotonicMs());
-        const keptMs = this.getRestMs();
-        if (keptMs > 0) {
-            const refusal = createRestRefusal(keptMs);
+        this.backoffs.record({ id: name }, restMs, this.clock.getMonotonicMs());
+        const backoffMs = this.getRemainingBackoffMs();
+        if (backoffMs > 0) {
+            const refusal = createBackoffRefusal(backoffMs);
             this.queue.removeAll().forEach(entry => entry.refuse(refusal));
         }
     }
 
-    /** How much longer the upstream wants nothing, in milliseconds; 0 where it has not asked for that. */
-    private getRestMs(): number {
-        return Math.max(0, this.rests.getUntil({ id: this.upstream.name }) - this.clock.getMonotonicMs());
+    /** Returns the remaining backoff of the upstream in milliseconds; 0 if none is in effect. */
+    private getRemainingBackoffMs(): number {
+        return Math.max(0, this.backoffs.getUntil({ id: this.upstream.name }) - this.clock.getMonotonicMs());
     }
 
-    /** Runs one run from the queue to its usage record. Never rejects: however it ends, the run says so. */
+    /** Queues and executes a run, and records its usage. Never rejects: a failure is reported as the end of the run. */
     async execute(run: Run): Promise<void> {
         let refusal: Refusal | undefined;
         let startedAt: number | undefined;
@@ -131,7 +136,7 @@
             await this.readAnswer(run);
         }
         catch (error) {
-            refusal = this.getEndRefusal(run, getRefusal(error), startedAt);
+            refusal = this.getFinalRefusal(run, getRefusal(error), startedAt);
         }
         const now = this.clock.getMonotonicMs();
         if (startedAt !== undefined) {
@@ -144,7 +149,7 @@
         run.finish(consumed, (startedAt ?? now) - run.enqueuedAt, now, refusal);
         this.metrics.recordTiming("sidecar.wait_ms", (startedAt ?? now) - run.enqueuedAt);
         this.metrics.addCount(refusal === undefined ? "sidecar.runs_whole" : "sidecar.runs_refused");
-        this.startWaiting();
+        this.startQueued();
     }
 
     private async waitForSlot(run: Run): Promise<void> {
@@ -155,7 +160,7 @@
                 this.queue.remove(entry);
                 reject(new RefusalError(refusal));
             };
-            const entry: WaitingRun = {
+            const entry: QueuedRun = {
                 run,
                 rank: params.rank,
                 ageingMs: params.ageingMs,
@@ -167,19 +172,19 @@
                 },
             };
             const timer = setTimeout(
-                () => refuse(createRefusal("deadlineTooClose", "waited in the queue", "no", 1000)),
+                () => refuse(createRefusal("deadlineTooClose", "the deadline passed in the queue", "no", 1000)),
                 params.deadlineMs,
             );
             run.abort.signal.addEventListener(
                 "abort",
-                () => refuse(createRefusal("runCancelled", "while it waited", "no")),
+                () => refuse(createRefusal("runCancelled", "cancelled while queued", "no")),
             );
             this.queue.add(entry);
-            this.startWaiting();
+            this.startQueued();
         });
     }
 
-    private startWaiting(): void {
+    private startQueued(): void {
         for (;;) {
             const next = this.queue.tryStartNext(this.clock.getMonotonicMs());
             if (next === undefined) {
@@ -198,29 +203,29 @@
         for await (const event of stream) {
             run.addEvent(event);
             if (request.type === "chat" && run.getOutputTokens() > params.outputCap) {
-                throw new RefusalError(createRefusal("upstreamFailed", "the engine went past its output cap", "yes"));
+                throw new RefusalError(createRefusal("upstreamFailed", "the engine exceeded its output cap", "yes"));
             }
-            if (!await run.waitReadable(LISTENER_STALL_MS)) {
+            if (!await run.waitForAcks(LISTENER_STALL_MS)) {
                 run.cancel(createRefusal("readerTooSlow", undefined, "yes"));
             }
         }
     }
 
-    private getEndRefusal(run: Run, refusal: Refusal, startedAt: number | undefined): Refusal {
+    private getFinalRefusal(run: Run, refusal: Refusal, startedAt: number | undefined): Refusal {
         if (startedAt === undefined) {
             return refusal;
         }
-        return run.cancelledBy ?? refusal;
+        return run.cancelReason ?? refusal;
     }
 }
 
-function createRestRefusal(restMs: number): Refusal {
-    return createRefusal("queueFull", "the upstream asked for rest", "no", restMs);
+function createBackoffRefusal(backoffMs: number): Refusal {
+    return createRefusal("queueFull", "the upstream requested a backoff", "no", backoffMs);
 }
 
 /**
- * What a run consumed, in tokens, never more than was reserved for it. Where the engine may have begun without saying
- * anything, its whole prompt counts.
+ * Returns the tokens a run consumed, at most those reserved for it. The whole prompt counts if the engine may have started
+ * but reported no count.
  */
 function getConsumed(run: Run, refusal: Refusal | undefined): { promptTokens: number; outputTokens: number; } {
     const { promptBound, outputCap, request } = run.params;
@@ -228,7 +233,7 @@
         return { promptTokens: 0, outputTokens: 0 };
     }
     if (request.type === "plain") {
-        // A plain call is paid for when it was answered.
+        // A plain call is billed only if it was answered.
         return { promptTokens: refusal === undefined || refusal.ran === "yes" ? promptBound : 0, outputTokens: 0 };
     }
     return {
--- a/src/daemons/sidecar/witnessStore.ts
+++ b/src/daemons/sidecar/witnessStore.ts
@@ -1,22 +1,22 @@
-/** Copies of top-ups that a zone's ledger made spendable, held in memory in case that ledger's disk is lost. */
+/** In-memory copies of the top-ups that a zone's ledger committed, used to restore them if its disk is lost. */
 import { getLedgerController } from "../../domain/identifiers.js";
 import type { WitnessedTopUp } from "../../protocol/runMethods.js";
 
-/** Copies held; the oldest go first. */
-const COPIES_KEPT = 10_000;
+/** The oldest copies are evicted first. */
+const MAX_COPIES = 10_000;
 
 export class WitnessStore {
     private readonly topUps = new Map<string, WitnessedTopUp>();
 
-    hold(topUp: WitnessedTopUp): void {
+    add(topUp: WitnessedTopUp): void {
         this.topUps.set(topUp.operationId, topUp);
-        if (this.topUps.size > COPIES_KEPT) {
+        if (this.topUps.size > MAX_COPIES) {
             this.topUps.delete(this.topUps.keys().next().value!);
         }
     }
 
-    /** The copies held for any incarnation of a controller's ledger. */
-    getOf(controller: string): WitnessedTopUp[] {
+    /** Returns the copies for all incarnations of a controller's ledger. */
+    listByController(controller: string): WitnessedTopUp[] {
         return [...this.topUps.values()].filter(topUp => getLedgerController(topUp.ledger) === controller);
     }
 }
--- a/test/daemons/sidecarRests.test.ts
+++ b/test/daemons/sidecarRests.test.ts
@@ -1,10 +1,6 @@
 /**
- * An upstream behind a sidecar that turns a request away and asks for rest.
- *
- * What users would see: requests that reach the upstream one after the other during its rest, each turned away with 502 after
- * it had waited for a slot, though another upstream of the service was free.
- *
- * The cause: the time of rest was not read; the caller was told 500 ms, whatever the upstream had asked for.
+ * Guards against a sidecar that ignores the `Retry-After` of its upstream: queued requests then keep reaching the upstream
+ * during its backoff and fail with 502, although another upstream of the service is free.
  */
 import { createServer, type Server } from "node:http";
 import t from "tap";
@@ -19,11 +15,11 @@
 import { FakeClock } from "../tools/fakes.js";
 import { KeptPeer } from "../tools/keptPeer.js";
 
-const REST_S = 3;
+const RETRY_AFTER_S = 3;
 const SLOTS = 1;
 let server: Server;
-let arrivals = 0;
-/** What the upstream answers every request with. */
+let requestCount = 0;
+/** The upstream's response to every request. */
 let answer: { readonly status: number; readonly headers: Record<string, string>; };
 let lastRun = 0;
 
@@ -71,10 +67,10 @@
     return new UpstreamRunner(upstream, client, clock, new NoLog(), new NoMetrics(), () => undefined);
 }
 
-/** Why a new run is refused; undefined where it is taken. */
-function tryGetCheckRefusal(runner: UpstreamRunner): Refusal | undefined {
+/** Returns the refusal of a new run, or undefined if it is admitted. */
+function tryGetAdmissionRefusal(runner: UpstreamRunner): Refusal | undefined {
     try {
-        runner.check(createParams("chat"));
+        runner.checkAdmission(createParams("chat"));
         return undefined;
     }
     catch (error) {
@@ -82,7 +78,7 @@
     }
 }
 
-/** Executes a run; answers how it ended. */
+/** Executes a run and returns its refusal, if any. */
 async function execute(runner: UpstreamRunner, type: "chat" | "plain", clock: FakeClock): Promise<Refusal | undefined> {
     const run = new Run(createParams(type), clock.getMonotonicMs());
     const peer = new KeptPeer();
@@ -93,7 +89,7 @@
 
 t.before(async () => {
     server = createServer((message, response) => {
-        arrivals += 1;
+        requestCount += 1;
         message.resume();
         response.writeHead(answer.status, answer.headers).end("{}");
     });
@@ -102,42 +98,42 @@
 t.teardown(() => server.close());
 
 for (const type of ["chat", "plain"] as const) {
-    void t.test(`a ${type} run that was turned away keeps the next ones away from the upstream`, async t => {
+    void t.test(`a backoff requested for a ${type} run rejects queued and new runs`, async t => {
         const clock = new FakeClock();
         const runner = createRunner(clock);
-        answer = { status: 503, headers: { "Retry-After": String(REST_S) } };
-        arrivals = 0;
+        answer = { status: 503, headers: { "Retry-After": String(RETRY_AFTER_S) } };
+        requestCount = 0;
         const waiting = execute(runner, type, clock);
         const second = execute(runner, type, clock);
         await waiting;
         const refusal = await second;
-        t.equal(arrivals, 1, "the one that waited for a slot did not reach it");
-        t.match(refusal, { code: "queueFull", ran: "no", retryAfterMs: REST_S * 1_000 });
-        t.match(tryGetCheckRefusal(runner), { code: "queueFull", ran: "no", retryAfterMs: REST_S * 1_000 });
-        clock.advance(REST_S * 1_000 - 1);
-        t.match(tryGetCheckRefusal(runner), { retryAfterMs: 1 });
+        t.equal(requestCount, 1, "the queued run does not reach the upstream");
+        t.match(refusal, { code: "queueFull", ran: "no", retryAfterMs: RETRY_AFTER_S * 1_000 });
+        t.match(tryGetAdmissionRefusal(runner), { code: "queueFull", ran: "no", retryAfterMs: RETRY_AFTER_S * 1_000 });
+        clock.advance(RETRY_AFTER_S * 1_000 - 1);
+        t.match(tryGetAdmissionRefusal(runner), { retryAfterMs: 1 });
         clock.advance(1);
-        t.equal(tryGetCheckRefusal(runner), undefined, "the rest is over");
+        t.equal(tryGetAdmissionRefusal(runner), undefined, "the backoff has ended");
     });
 }
 
-void t.test("a date is read, too; a failure without a time asks for no rest", async t => {
+void t.test("Retry-After may be a date; a failure without it requests no backoff", async t => {
     const clock = new FakeClock();
     const runner = createRunner(clock);
     answer = { status: 503, headers: {} };
     t.match(await execute(runner, "chat", clock), { code: "upstreamFailed" });
-    t.equal(tryGetCheckRefusal(runner), undefined);
+    t.equal(tryGetAdmissionRefusal(runner), undefined);
     const date = new Date(new SystemClock().getWallMs() + 60_000).toUTCString();
     answer = { status: 429, headers: { "Retry-After": date } };
     await execute(runner, "chat", clock);
-    const refusal = tryGetCheckRefusal(runner);
+    const refusal = tryGetAdmissionRefusal(runner);
     t.ok(refusal!.retryAfterMs! > 50_000 && refusal!.retryAfterMs! <= 60_000, `${refusal!.retryAfterMs} ms`);
 });
 
-void t.test("what makes no sense counts as not said", async t => {
+void t.test("an unparsable Retry-After is ignored", async t => {
     const clock = new FakeClock();
     const runner = createRunner(clock);
     answer = { status: 503, headers: { "Retry-After": "soon" } };
     await execute(runner, "chat", clock);
-    t.equal(tryGetCheckRefusal(runner), undefined);
+    t.equal(tryGetAdmissionRefusal(runner), undefined);
 });
