--- a/src/daemons/directRouter/prepaidBorrower.ts
+++ b/src/daemons/directRouter/prepaidBorrower.ts
@@ -135,7 +135,7 @@
     }
 
     /**
-     * Adds the tokens lent to the purse, even if the response is too late for the request: the lender has already
+     * Adds the tokens lent to the local token budget, even if the response is too late for the request: the lender has already
      * deducted them. Late tokens are returned with other unused tokens. Never rejects.
      */
     private async receiveLoan(address: string, request: LoanRequest): Promise<void> {
--- a/src/daemons/directRouter/prepaidReporter.ts
+++ b/src/daemons/directRouter/prepaidReporter.ts
@@ -1,4 +1,4 @@
-/** Reports a router's prepaid tokens to the controllers, one report at a time, and applies the grants to the purse. */
+/** Reports a router's prepaid tokens to the controllers, one report at a time, and applies the grants to the local token budget. */
 import { ConditionVariable } from "../../consensus/conditionVariable.js";
 import type { LocalTokenBudget } from "../../domain/localTokenBudget.js";
 import type { PrepaidResult } from "../../domain/prepaidLedger.js";
@@ -111,7 +111,7 @@
         }
     }
 
-    /** Applies a response to the purse and wakes the requests that wait for it. */
+    /** Applies a response to the local token budget and wakes the requests that wait for it. */
     private receiveAnswer(address: string, sequence: number, round: number, answer: PrepaidResult): void {
         this.tokenBudget.applyAnswer(sequence, answer.accounts, this.clock.getMonotonicMs());
         this.routerCount = Math.max(1, answer.routers);
--- a/src/daemons/sidecar/sidecarDaemon.ts
+++ b/src/daemons/sidecar/sidecarDaemon.ts
@@ -29,7 +29,7 @@
 import type { ControllerAddress } from "../controllerAddress.js";
 import { RepeatingTask } from "../repeatingTask.js";
 import { UsageOutbox } from "../usageOutbox.js";
-import { OrderFence } from "./orderGate.js";
+import { OrderFence } from "./orderFence.js";
 import { Run } from "./run.js";
 import { RunTable } from "./runTable.js";
 import { UpstreamRunner } from "./upstreamRunner.js";
--- a/src/domain/prepaidLedger.ts
+++ b/src/domain/prepaidLedger.ts
@@ -82,7 +82,7 @@
 /** Snapshots of earlier versions have no `burst` field. */
 type OptionalBurst<T extends { burst: number; }> = Omit<T, "burst"> & { readonly burst?: number; };
 
-/** State of the book at one log index. */
+/** State of the ledger at one log index. */
 export interface PrepaidSnapshot {
     readonly accounts: readonly (OptionalBurst<Account> & { readonly account: string; })[];
     readonly grantees: readonly {
--- a/src/domain/reportBound.ts
+++ b/src/domain/reportBound.ts
@@ -1,4 +1,4 @@
-/** Derives from the reports of a router an upper bound on the prepaid tokens it can have committed (see prepaidBook.ts). */
+/** Derives from the reports of a router an upper bound on the prepaid tokens it can have committed (see prepaidLedger.ts). */
 import type { PrepaidReportCommand } from "./bundleCommands.js";
 
 type ReportedAccount = PrepaidReportCommand["accounts"][number];
--- a/test/daemons/prepaidBorrower.test.ts
+++ b/test/daemons/prepaidBorrower.test.ts
@@ -87,7 +87,7 @@
     const borrower = new PrepaidBorrower(tokenBudget, holders, network, links, NO_LOG, options);
     return {
         borrower,
-        purse: tokenBudget,
+        tokenBudget,
         network,
         links,
         holder: holders.tryGetReachableHolder(ACCOUNT, () => true)!,
@@ -101,7 +101,7 @@
 }
 
 void t.test("the holder is asked for the shortfall, and skipped for the next router after a failure", async t => {
-    const { borrower, purse: tokenBudget, network, holder } = createBorrower();
+    const { borrower, tokenBudget, network, holder } = createBorrower();
     t.equal(await borrower.borrowFromHolder(ACCOUNT, 3_000, RANK), true);
     t.same(network.calledAddresses, [holder]);
     t.equal(tokenBudget.tryReserve(ACCOUNT, 3_000, RANK, performance.now()), "reserved");
@@ -113,7 +113,7 @@
 });
 
 void t.test("a loan that arrives after the request timed out is kept and returned", async t => {
-    const { borrower, purse: tokenBudget, network, links, holder } = createBorrower(1);
+    const { borrower, tokenBudget, network, links, holder } = createBorrower(1);
     network.slow.add(holder);
     t.equal(await borrower.borrowFromHolder(ACCOUNT, 3_000, RANK), false);
     t.same(tokenBudget.listUnusedLoans(), []);
@@ -127,7 +127,7 @@
 });
 
 void t.test("unused tokens are returned to the holder once, and only when it is connected", async t => {
-    const { borrower, purse: tokenBudget, network, links, holder } = createBorrower();
+    const { borrower, tokenBudget, network, links, holder } = createBorrower();
     await borrower.borrowFromHolder(ACCOUNT, 3_000, RANK);
     borrower.returnLoans();
     t.same(tokenBudget.listUnusedLoans(), [{ account: ACCOUNT, tokens: 3_000 }], "not connected yet");
--- a/test/daemons/sidecarRests.test.ts
+++ b/test/daemons/sidecarBackoff.test.ts
@@ -13,7 +13,7 @@
 import { NoMetrics } from "../../src/ports/metrics.js";
 import { runEndMethod, type StartRunParams } from "../../src/protocol/runMethods.js";
 import { FakeClock } from "../tools/fakes.js";
-import { KeptPeer } from "../tools/keptPeer.js";
+import { RecordingPeer } from "../tools/recordingPeer.js";
 
 const RETRY_AFTER_S = 3;
 const SLOTS = 1;
@@ -81,7 +81,7 @@
 /** Executes a run and returns its refusal, if any. */
 async function execute(runner: UpstreamRunner, type: "chat" | "plain", clock: FakeClock): Promise<Refusal | undefined> {
     const run = new Run(createParams(type), clock.getMonotonicMs());
-    const peer = new KeptPeer();
+    const peer = new RecordingPeer();
     run.addListener(peer, "l", 0);
     await runner.execute(run);
     return peer.getParams(runEndMethod).at(-1)?.refusal;
--- a/test/domain/localTokenBudget.test.ts
+++ b/test/domain/localTokenBudget.test.ts
@@ -16,7 +16,7 @@
     readonly writtenOff?: number;
 }
 
-/** Creates a purse whose first report was answered with `grant`. */
+/** Creates a token budget whose first report was answered with `grant`. */
 function createTokenBudget(grant: Grant): LocalTokenBudget {
     // Waiting for the whole grant permits its immediate commitment, so that only the grant and the ranks limit
     // reservations.
@@ -42,7 +42,7 @@
     return report;
 }
 
-/** Reserves and consumes tokens, so that the purse measures urgent demand. */
+/** Reserves and consumes tokens, so that the token budget measures urgent demand. */
 function consumeUrgent(tokenBudget: LocalTokenBudget, tokens: number, now: number): void {
     t.equal(tokenBudget.tryReserve("a", tokens, MOST_URGENT, now), "reserved");
     tokenBudget.settle("a", tokens, tokens);
--- a/test/tools/prepaidSimulation.ts
+++ b/test/tools/prepaidSimulation.ts
@@ -1,5 +1,5 @@
 /**
- * Simulates the prepaid book and purses of several routers under partitions, crashes, restarts, clock steps, and
+ * Simulates the prepaid ledger and the token budgets of several routers under partitions, crashes, restarts, clock steps, and
  * reports that are lost, delayed or applied without an answer.
  */
 import type { PrepaidReportCommand } from "../../src/domain/bundleCommands.js";
--- a/test/tools/keptPeer.ts
+++ b/test/tools/recordingPeer.ts
@@ -1,7 +1,7 @@
 /** A peer that keeps what it is told. */
 import { Peer, type PeerIdentity, type PeerMethod } from "../../src/ports/peer.js";
 
-export class KeptPeer extends Peer {
+export class RecordingPeer extends Peer {
     override readonly identity: PeerIdentity = { name: "kept", role: "router", zone: "z", incarnation: "1" };
     private readonly notices: { readonly name: string; readonly params: unknown; }[] = [];
 
