--- a/src/bundleWiring.ts
+++ b/src/bundleWiring.ts
@@ -60,7 +60,7 @@
 export interface DirectRouterSettings extends BundleRoleSettings {
     readonly router: DirectRouterOptions;
     readonly load: UpstreamLoadOptions;
-    readonly tokenBudgetOptions: LocalTokenBudgetOptions;
+    readonly purse: LocalTokenBudgetOptions;
     readonly reporter: PrepaidReporterOptions;
     readonly borrower: PrepaidBorrowerOptions;
     readonly sharer: PlacementSharerOptions;
@@ -156,7 +156,7 @@
     const self = { address: settings.router.address, zone: settings.zone };
     const holders = new TokenHolders(self);
     const routerLinks = new RouterLinks(network, log);
-    const tokenBudget = new LocalTokenBudget(settings.name, identity.incarnation, settings.tokenBudgetOptions);
+    const tokenBudget = new LocalTokenBudget(settings.name, identity.incarnation, settings.purse);
     const load = new UpstreamLoad(settings.zone, settings.load);
     const reporter = new PrepaidReporter(
         tokenBudget,
--- a/src/consensus/logStorage.ts
+++ b/src/consensus/logStorage.ts
@@ -84,7 +84,7 @@
 
     /**
      * Returns when the monotonic clock last appears to have missed time, on that clock in milliseconds (see
-     * `TimeOfDayWatch`). Anything received before then is older than its timestamp suggests.
+     * `WallClockMonitor`). Anything received before then is older than its timestamp suggests.
      */
     getLastMissedAt(): number {
         return this.wallClockMonitor.getLastMissedAt(this.clock.getWallMs(), this.clock.getMonotonicMs());
--- a/src/daemons/directRouter/upstreamEndWatch.ts
+++ b/src/daemons/directRouter/upstreamEndWatch.ts
@@ -12,7 +12,7 @@
 
 /** An upstream that crashed while it had requests of this router. */
 export interface EndedUpstream {
-    /** Key of the upstream process instance, see `getLifeKey`. */
+    /** Key of the upstream process instance, see `getIncarnationKey`. */
     readonly life: string;
     /** When the first request was interrupted. Monotonic clock, milliseconds. */
     readonly interruptedAt: number;
--- a/src/daemons/sidecar/upstreamRunner.ts
+++ b/src/daemons/sidecar/upstreamRunner.ts
@@ -108,7 +108,7 @@
     private handleBackoffRequest({ retryAfterMs, headerValue }: RetryAfterNotice): void {
         const { name } = this.upstream;
         if (retryAfterMs === undefined) {
-            this.log.warn("upstream_signal_unreadable", { upstream: name, headerValue });
+            this.log.warn("upstream_signal_unreadable", { upstream: name, said: headerValue });
             return;
         }
         this.metrics.addCount("sidecar.upstream_rests");
--- a/src/domain/upstreamEndCommands.ts
+++ b/src/domain/upstreamEndCommands.ts
@@ -15,7 +15,7 @@
 });
 export type InterruptedRequest = z.infer<typeof interruptedRequestSchema>;
 
-/** Identifies an upstream incarnation, see `getLifeKey`. */
+/** Identifies an upstream incarnation, see `getIncarnationKey`. */
 export const lifeKeySchema = z.string().min(1).max(160);
 
 /** Records that an upstream incarnation ended and what one router lost there. Other routers may add to the same end. */
