--- a/test/daemons/placementSharer.test.ts
+++ b/test/daemons/placementSharer.test.ts
@@ -43,7 +43,7 @@
     const recorded: unknown[][] = [];
     const logged: string[] = [];
     const log: Log = { info: event => logged.push(event), warn: () => undefined, error: () => undefined };
-    const load = { recordOther: (...args: unknown[]) => recorded.push(args) } as unknown as UpstreamLoad;
+    const load = { recordPeerRequest: (...args: unknown[]) => recorded.push(args) } as unknown as UpstreamLoad;
     const options = { batchDelayMs: 1, relayBatchDelayMs: 1, minTokens: MIN_TOKENS };
     const links = new RouterLinks(network, log);
     const sharer = new PlacementSharer({ address: "r1", zone: "z" }, load, links, new FakeClock(), log, options);
--- a/test/daemons/placementSpread.test.ts
+++ b/test/daemons/placementSpread.test.ts
@@ -71,7 +71,7 @@
         for (const self of contacts) {
             const received: string[] = [];
             const load = {
-                recordOther: (upstream: UpstreamIncarnation) => received.push(upstream.id),
+                recordPeerRequest: (upstream: UpstreamIncarnation) => received.push(upstream.id),
             } as unknown as UpstreamLoad;
             const options = { batchDelayMs: 1, relayBatchDelayMs: 1, minTokens: 1 };
             const links = new RouterLinks(new FleetNetwork(this), NO_LOG);
--- a/test/domain/topUpRecovery.test.ts
+++ b/test/domain/topUpRecovery.test.ts
@@ -44,7 +44,7 @@
                         getAll: () => [{ spec: { sidecar: "s", box: "b", zone: "z" } }],
                     },
                 },
-                getMajority: () => 2,
+                getQuorumSize: () => 2,
                 waitApplied: () => Promise.resolve(),
                 propose: (command: Command) => this.propose(command),
             },
--- a/test/domain/upstreamCandidates.test.ts
+++ b/test/domain/upstreamCandidates.test.ts
@@ -38,7 +38,7 @@
     zones.record({ index: 1, zones: ["a"] }, 10);
     t.same(listIds(10), ["v"]);
     zones.record({ index: 2, zones: ["a", "b"] }, 20);
-    t.same(list(20), { upstreams: [], waitMs: undefined, closed: [] });
+    t.same(list(20), { upstreams: [], waitMs: undefined, unavailableReasons: [] });
     t.end();
 });
 
@@ -70,7 +70,7 @@
 void t.test("if all upstreams are cold, the wait until one is available is returned", t => {
     const { registry, list } = createFixture();
     registry.record(createRegistration({ coldLeftMs: 2_000 }), 0);
-    t.same(list(0), { upstreams: [], waitMs: 100, closed: ["cold"] });
+    t.same(list(0), { upstreams: [], waitMs: 100, unavailableReasons: ["cold"] });
     t.end();
 });
 
@@ -106,7 +106,7 @@
     registry.record(first, 0);
     rests.record(first, 3_000, 0);
     rests.record(first, 500, 100);
-    t.same(list(1_000), { upstreams: [], waitMs: 2_000, closed: ["resting"] });
+    t.same(list(1_000), { upstreams: [], waitMs: 2_000, unavailableReasons: ["resting"] });
     registry.record(createRegistration({ bornAt: 2 }), 1_000);
     t.same(listIds(1_000), ["u"], "the next incarnation has requested no backoff");
     t.equal(rests.count(2_999), 1);
@@ -130,7 +130,7 @@
     registry.record(upstream, 0);
     registry.recordLimit(upstream, 100, 0);
     rests.record(upstream, 3_000, 0);
-    t.same(list(100), { upstreams: [], waitMs: 2_900, closed: ["resting"] });
+    t.same(list(100), { upstreams: [], waitMs: 2_900, unavailableReasons: ["resting"] });
     t.equal(list(3_100).upstreams.length, 1);
     t.end();
 });
--- a/test/platform/engineClient.test.ts
+++ b/test/platform/engineClient.test.ts
@@ -124,7 +124,7 @@
         },
         async (client, address) => {
             const outcome = await runExchange(client, createCall(address, { resumeAfter: "7" }));
-            t.match(outcome.heads, [{ status: 503, isNotRun: true, isOwn: true, isSigned: false }]);
+            t.match(outcome.heads, [{ status: 503, isNotRun: true, hasMatchingId: true, isSigned: false }]);
             t.match(sent, /^POST \/p\/x\?q=1 HTTP\/1\.1\r\n/);
             t.match(sent, /Expect-Instance: u1\r\n/i);
             t.match(sent, /Tenant: acc\r\n/i);
@@ -206,7 +206,7 @@
         socket =>
             socket.write("HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nInstance-Signature: s\r\nContent-Length: 0\r\n\r\n"),
         async (client, address) => {
-            t.match((await runExchange(client, createCall(address))).heads, [{ isOwn: false }]);
+            t.match((await runExchange(client, createCall(address))).heads, [{ hasMatchingId: false }]);
         },
     );
 });
--- a/test/platform/engineSignals.test.ts
+++ b/test/platform/engineSignals.test.ts
@@ -9,7 +9,7 @@
 }
 
 void t.test("a response without signals", t => {
-    const noSignals = { limitPerSecond: undefined, isLeaving: false, restMs: undefined, unreadable: [] };
+    const noSignals = { limitPerSecond: undefined, isLeaving: false, backoffMs: undefined, unparsed: [] };
     t.same(decode(200, {}), noSignals);
     t.same(decode(200, { "retry-after": "3" }), noSignals, "Retry-After is ignored unless the request was rejected");
     t.end();
