--- a/test/platform/failuresClearNobody.test.ts
+++ b/test/platform/failuresClearNobody.test.ts
@@ -1,30 +1,27 @@
-/**
- * A request under which upstreams end, and that one of them answers by a failure of its own in between: the failure does not
- * show that it can be run, so what is held against it stands.
- */
+/** A poison request that one upstream answers with status 500 between two crashes must remain a suspect. */
 import t from "tap";
 import { request } from "undici";
 import { DirectFleet } from "../tools/directFleet.js";
-import { DEADLY_BODY, MortalEngine } from "../tools/mortalEngine.js";
+import { CrashingEngine, POISON_BODY } from "../tools/mortalEngine.js";
 import { wait, waitUntil } from "../tools/waiting.js";
 import { createWireBundle } from "../tools/wireBundle.js";
 
 const NETWORK = 91;
 const ENGINES = 4;
-/** Until the controllers have heard of an end, or of an answer. Milliseconds. */
-const TOLD_MS = 500;
+/** Time until the controllers have received a report of a crash or of a response. */
+const PROPAGATION_MS = 500;
 const fleet = new DirectFleet(NETWORK);
-const engines = Array.from({ length: ENGINES }, (_, i) => new MortalEngine(fleet, `e${i}`, `r${11 + i}`, "plain"));
+const engines = Array.from({ length: ENGINES }, (_, i) => new CrashingEngine(fleet, `e${i}`, `r${11 + i}`, "plain"));
 let lastId = 0;
 
-/** Answers status 0 where the connection was lost. */
+/** Returns status 0 if the connection was lost. */
 async function callRouter(): Promise<number> {
     lastId += 1;
     try {
         const answer = await request(fleet.getCallerUrl("r1", "/c/x"), {
             method: "POST",
             headers: { "Host": "api.example", "Attempt-Id": `a${lastId}`, "Credential": "key-1" },
-            body: DEADLY_BODY,
+            body: POISON_BODY,
         });
         await answer.body.dump();
         return answer.statusCode;
@@ -34,7 +31,7 @@
     }
 }
 
-void t.test("a failure between the ends of its upstreams clears no request", async t => {
+void t.test("a status 500 between crashes does not clear a poison request", async t => {
     await fleet.open();
     t.teardown(async () => {
         engines.forEach(engine => engine.close());
@@ -50,19 +47,19 @@
         () => registry.getReady("plain", performance.now(), Infinity).length === ENGINES,
     );
 
-    const countEnds = () => engines.reduce((sum, engine) => sum + engine.ends, 0);
-    const endOne = async (ends: number): Promise<void> => {
+    const countCrashes = () => engines.reduce((sum, engine) => sum + engine.crashes, 0);
+    const crashOne = async (total: number): Promise<void> => {
         await callRouter();
-        await waitUntil(`end ${ends}`, () => countEnds() === ends);
-        await wait(TOLD_MS);
+        await waitUntil(`crash ${total}`, () => countCrashes() === total);
+        await wait(PROPAGATION_MS);
     };
-    await endOne(1);
-    await endOne(2);
+    await crashOne(1);
+    await crashOne(2);
     engines.forEach(engine => engine.isFailing = true);
     t.equal(await callRouter(), 500);
-    await wait(TOLD_MS);
+    await wait(PROPAGATION_MS);
     engines.forEach(engine => engine.isFailing = false);
-    await endOne(3);
+    await crashOne(3);
     t.equal(await callRouter(), 503);
-    t.equal(countEnds(), 3, "it was not run again");
+    t.equal(countCrashes(), 3, "the request was not run again");
 });
