--- a/test/platform/leavingUpstreams.test.ts
+++ b/test/platform/leavingUpstreams.test.ts
@@ -1,45 +1,40 @@
 /**
- * An upstream that says in its answers that it leaves, and goes on registering as ready: its registrations come late, or are
- * lost in a cut.
- *
- * What users would see: requests cut off by an upstream that ends, though it had said so for seconds in each answer.
- *
- * The cause: only registrations were read for it. What showed it: the upstream got new requests for as long as it registered as
- * ready, also from routers that it had told in each answer.
+ * An upstream that announces its shutdown in response headers must get no new requests, even while its registrations, delayed
+ * or lost, still say that it is ready.
  */
 import t from "tap";
 import type { SignallingEngine } from "../tools/signallingEngine.js";
 import { SignallingFleet } from "../tools/signallingFleet.js";
 import { wait, waitUntil } from "../tools/waiting.js";
 
-/** How long a leaving upstream may still get new work, and how long it is watched after that. Milliseconds. */
+/** Time during which a draining upstream may still receive new requests. */
 const DRAIN_MS = 2_000;
 const WATCH_MS = 1_500;
-const world = new SignallingFleet({ network: 98, routers: ["r1", "r2"], engines: ["e1", "e2", "e3"] });
-const [first, second] = world.engines;
+const fleet = new SignallingFleet({ network: 98, routers: ["r1", "r2"], engines: ["e1", "e2", "e3"] });
+const [first, second] = fleet.engines;
 
-/** Lets an upstream say that it leaves; answers how many requests reach it after the time for that. */
-async function leave(engine: SignallingEngine): Promise<number> {
+/** Has an upstream announce its shutdown and counts the requests that it receives after the drain period. */
+async function countArrivalsAfterDrain(engine: SignallingEngine): Promise<number> {
     engine.headers = { "Server-Leaving": "1" };
-    const saidAt = performance.now();
-    await waitUntil("it has said so", () => engine.arrivals.some(({ at }) => at > saidAt));
+    const announcedAt = performance.now();
+    await waitUntil("shutdown announced", () => engine.arrivals.some(({ at }) => at > announcedAt));
     await wait(DRAIN_MS + WATCH_MS);
-    return engine.arrivals.filter(({ at }) => at > saidAt + DRAIN_MS).length;
+    return engine.arrivals.filter(({ at }) => at > announcedAt + DRAIN_MS).length;
 }
 
-void t.test("an upstream that says that it leaves", async t => {
-    t.teardown(() => world.close());
-    await world.open();
-    await world.startCallers();
+void t.test("an upstream that announces its shutdown", async t => {
+    t.teardown(() => fleet.close());
+    await fleet.open();
+    await fleet.startCallers();
 
-    await t.test("gets nothing new after seconds, whatever it registers", async t => {
-        t.equal(await leave(first!), 0);
-        t.same(world.listRefused(), [], "callers are served by the others");
+    await t.test("gets no new requests after the drain period, even if registered as ready", async t => {
+        t.equal(await countArrivalsAfterDrain(first!), 0);
+        t.same(fleet.listFailedStatuses(), [], "the other upstreams serve all callers");
     });
 
-    await t.test("nor from routers that reach no controller", async t => {
-        await world.stopControllers();
-        t.equal(await leave(second!), 0);
-        t.same(world.listRefused(), [], "callers are served by the others");
+    await t.test("gets none from routers without a controller either", async t => {
+        await fleet.stopControllers();
+        t.equal(await countArrivalsAfterDrain(second!), 0);
+        t.same(fleet.listFailedStatuses(), [], "the other upstreams serve all callers");
     });
 });
--- a/test/platform/upstreamRests.test.ts
+++ b/test/platform/upstreamRests.test.ts
@@ -1,73 +1,64 @@
 /**
- * An upstream that turns a request away and asks the router for rest.
- *
- * What users saw: overloaded upstreams answered 503 and asked for 3 s of rest; the router that was told sent them a third and
- * a fourth request within that time, and callers were turned away by an upstream that had said so before.
- *
- * The order of events: an upstream turns a request away with a time of rest; the router sends nothing there for 100 ms; another
- * request that the upstream runs meanwhile ends that pause; the router's next requests go there again.
- *
- * The cause: the time of rest was not read. The pause after a request that was turned away is a rule of the router's own, meant
- * for upstreams that say nothing, and a good answer ends it. What showed it: requests of the same router reached the upstream
- * 2.2 and 2.7 s after the rest was asked for, long after anything decided before could have been under way.
+ * An upstream that rejects a request with Retry-After must get no more requests from that router until the backoff ends, even
+ * if another request succeeds there in the meantime.
  */
 import t from "tap";
 import { SignallingFleet } from "../tools/signallingFleet.js";
 import { wait, waitUntil } from "../tools/waiting.js";
 
 const ROUTERS = ["r1", "r2"];
-const REST_MS = 3_000;
-/** What was under way may still arrive for so long. Milliseconds. */
-const UNDER_WAY_MS = 500;
-/** Requests that may reach an upstream from one router during its rest. */
-const MOST_IN_REST = 2;
-const world = new SignallingFleet({ network: 96, routers: ROUTERS, engines: ["e1", "e2", "e3"] });
-const { callers, engines } = world;
-const tired = engines[0]!;
+const BACKOFF_MS = 3_000;
+/** Time during which requests in flight may still arrive. */
+const IN_FLIGHT_MS = 500;
+/** Requests that one router may send to an upstream during its backoff. */
+const MAX_IN_BACKOFF = 2;
+const fleet = new SignallingFleet({ network: 96, routers: ROUTERS, engines: ["e1", "e2", "e3"] });
+const { callers, engines } = fleet;
+const overloaded = engines[0]!;
 
-/** Requests of a router in the rest that it was asked for first. */
-function countInRest(name: string): number {
-    const own = tired.arrivals.filter(({ router }) => router === name);
-    const askedAt = own.find(({ isTurnedAway }) => isTurnedAway)!.at;
-    return own.filter(({ at }) => at > askedAt + UNDER_WAY_MS && at < askedAt + REST_MS).length;
+/** Counts the requests from a router during the first backoff that it was asked for. */
+function countInBackoff(name: string): number {
+    const own = overloaded.arrivals.filter(({ router }) => router === name);
+    const askedAt = own.find(({ isRejected: isTurnedAway }) => isTurnedAway)!.at;
+    return own.filter(({ at }) => at > askedAt + IN_FLIGHT_MS && at < askedAt + BACKOFF_MS).length;
 }
 
-void t.test("an upstream that asks for rest", async t => {
-    t.teardown(() => world.close());
-    await world.open();
-    await world.startCallers();
+void t.test("an upstream that asks for a backoff", async t => {
+    t.teardown(() => fleet.close());
+    await fleet.open();
+    await fleet.startCallers();
 
-    await t.test("gets nothing more from the router that was told, also where it has answered others since", async t => {
-        tired.turnsAwayWith = { "Retry-After": String(REST_MS / 1_000) };
-        await waitUntil("both are told", () => {
-            const told = tired.arrivals.filter(({ isTurnedAway }) => isTurnedAway);
-            return new Set(told.map(({ router }) => router)).size === 2;
+    await t.test("gets no more requests from a router that it rejected, even after later successes", async t => {
+        overloaded.rejectionHeaders = { "Retry-After": String(BACKOFF_MS / 1_000) };
+        await waitUntil("both routers rejected", () => {
+            const rejected = overloaded.arrivals.filter(({ isRejected: isTurnedAway }) => isTurnedAway);
+            return new Set(rejected.map(({ router }) => router)).size === 2;
         });
-        tired.turnsAwayWith = undefined;
-        await wait(REST_MS + UNDER_WAY_MS);
+        overloaded.rejectionHeaders = undefined;
+        await wait(BACKOFF_MS + IN_FLIGHT_MS);
         for (const router of ROUTERS) {
-            const count = countInRest(router);
-            t.ok(count <= MOST_IN_REST, `${count} from ${router}`);
+            const count = countInBackoff(router);
+            t.ok(count <= MAX_IN_BACKOFF, `${count} from ${router}`);
         }
-        t.same(world.listRefused(), [], "callers are served by the others");
+        t.same(fleet.listFailedStatuses(), [], "the other upstreams serve all callers");
     });
 
-    await t.test("is used again when the rest is over", async () => {
+    await t.test("is used again when the backoff is over", async () => {
         const since = performance.now();
-        await waitUntil("both use it", () => world.hasAllSince(tired, since));
+        await waitUntil("use by both routers", () => fleet.isUsedByAllSince(overloaded, since));
     });
 
-    await t.test("is refused for at once where all rest, with when the first rest ends", async t => {
+    await t.test("causes immediate refusals with the shortest Retry-After when all upstreams back off", async t => {
         await callers.stop();
-        engines.forEach((engine, i) => engine.turnsAwayWith = { "Retry-After": String(2 + i) });
-        await waitUntil("all have been asked", async () => {
+        engines.forEach((engine, i) => engine.rejectionHeaders = { "Retry-After": String(2 + i) });
+        await waitUntil("rejections by all upstreams", async () => {
             await callers.call("r1");
-            return engines.every(({ arrivals }) => arrivals.at(-1)?.router === "r1" && arrivals.at(-1)!.isTurnedAway);
+            return engines.every(({ arrivals }) => arrivals.at(-1)?.router === "r1" && arrivals.at(-1)!.isRejected);
         });
         const before = engines.map(({ arrivals }) => arrivals.length);
         const { status, retryAfter } = await callers.call("r1");
         t.equal(status, 503);
-        t.ok(Number(retryAfter) > 0 && Number(retryAfter) <= 2, `come back in ${retryAfter} s`);
-        t.same(engines.map(({ arrivals }) => arrivals.length), before, "nobody was asked for it");
+        t.ok(Number(retryAfter) > 0 && Number(retryAfter) <= 2, `Retry-After: ${retryAfter}`);
+        t.same(engines.map(({ arrivals }) => arrivals.length), before, "no upstream received the request");
     });
 });
--- a/test/tools/directCallers.ts
+++ b/test/tools/directCallers.ts
@@ -1,12 +1,11 @@
-/** Callers of a direct fleet who send one request after the other, each to one router. */
+/** Callers of a direct fleet. Each calls one router and sends one request at a time. */
 import { request } from "undici";
 import type { DirectFleet } from "./directFleet.js";
 import { wait } from "./waiting.js";
 
-/** What a caller got. */
 export interface CallerAnswer {
     readonly status: number;
-    /** In seconds, as the router said it. */
+    /** Value of the Retry-After header, in seconds. */
     readonly retryAfter: string | undefined;
 }
 
@@ -17,7 +16,6 @@
 
     constructor(private readonly fleet: DirectFleet, private readonly path = "/l/x") {}
 
-    /** Sends one request. */
     async call(router: string): Promise<CallerAnswer> {
         this.lastId += 1;
         const answer = await request(this.fleet.getCallerUrl(router, this.path), {
@@ -33,9 +31,9 @@
         return { status: answer.statusCode, retryAfter: answer.headers["retry-after"] as string | undefined };
     }
 
-    /** Calls a router again and again, with a pause between, until `stop`; statuses go to `onStatus`. */
-    start(router: string, pauseMs: number, onStatus: (status: number) => void): void {
-        this.running.push(this.keepCalling(router, pauseMs, onStatus));
+    /** Starts a caller that calls a router until `stop`, with a pause after each response. */
+    startCaller(router: string, pauseMs: number, onStatus: (status: number) => void): void {
+        this.running.push(this.callRepeatedly(router, pauseMs, onStatus));
     }
 
     async stop(): Promise<void> {
@@ -43,7 +41,7 @@
         await Promise.all(this.running);
     }
 
-    private async keepCalling(router: string, pauseMs: number, onStatus: (status: number) => void): Promise<void> {
+    private async callRepeatedly(router: string, pauseMs: number, onStatus: (status: number) => void): Promise<void> {
         while (!this.stopped) {
             onStatus((await this.call(router)).status);
             await wait(pauseMs);
--- a/test/tools/signallingFleet.ts
+++ b/test/tools/signallingFleet.ts
@@ -1,23 +1,22 @@
-/** A direct fleet before engines that say of themselves what a test wants, with callers that go on calling. */
+/** A direct fleet with signalling engines and callers that send requests continuously. */
 import { DirectCallers } from "./directCallers.js";
 import { DirectFleet } from "./directFleet.js";
 import { SignallingEngine } from "./signallingEngine.js";
 import { waitUntil } from "./waiting.js";
 import { createWireBundle } from "./wireBundle.js";
 
-/** How many callers each router has, and how long each pauses after an answer. */
-const CALLERS = 4;
+const CALLERS_PER_ROUTER = 4;
 const CALL_PAUSE_MS = 30;
 const CONTROLLERS = ["c1", "c2", "c3"];
 
 export interface SignallingFleetOptions {
-    /** The second part of the fleet's addresses, so that fleets of several files do not meet. */
+    /** See the constructor of `DirectFleet`. */
     readonly network: number;
     readonly routers: readonly string[];
     readonly engines: readonly string[];
-    /** What callers ask for. */
+    /** Path of the callers' requests. */
     readonly path?: string;
-    /** Connections of all routers to one engine; as the configuration says where it is left out. */
+    /** Connection limit of all routers together to one engine; defaults to that of the wire bundle. */
     readonly maxConnections?: number;
 }
 
@@ -25,7 +24,7 @@
     readonly fleet: DirectFleet;
     readonly callers: DirectCallers;
     readonly engines: readonly SignallingEngine[];
-    /** What callers got, in order. */
+    /** Statuses received by callers, in order. */
     readonly statuses: number[] = [];
 
     constructor(private readonly options: SignallingFleetOptions) {
@@ -34,7 +33,7 @@
         this.engines = options.engines.map((id, i) => new SignallingEngine(this.fleet, id, `r${11 + i}`));
     }
 
-    /** Starts everything but the engines. */
+    /** Starts controllers and routers and uploads the configuration; engines are started separately. */
     async open(): Promise<void> {
         const { maxConnections, routers } = this.options;
         await this.fleet.open();
@@ -51,34 +50,40 @@
         await this.fleet.close();
     }
 
-    /** Starts an engine, and waits until every router answers callers. */
+    /** Starts an engine and waits until every router answers with status 200. */
     async startEngine(engine: SignallingEngine): Promise<void> {
         await engine.start("c1");
         for (const router of this.options.routers) {
-            await waitUntil("callers are answered", async () => (await this.callers.call(router)).status === 200);
+            await waitUntil(
+                "status 200 from every router",
+                async () => (await this.callers.call(router)).status === 200,
+            );
         }
     }
 
-    /** Starts all engines and has every router called again and again, until all routers use all engines. */
+    /** Starts all engines and callers and waits until every router has sent requests to every engine. */
     async startCallers(): Promise<void> {
         const { routers } = this.options;
         for (const engine of this.engines) {
             await this.startEngine(engine);
         }
         for (const router of routers) {
-            for (let i = 0; i < CALLERS; i++) {
-                this.callers.start(router, CALL_PAUSE_MS, status => this.statuses.push(status));
+            for (let i = 0; i < CALLERS_PER_ROUTER; i++) {
+                this.callers.startCaller(router, CALL_PAUSE_MS, status => this.statuses.push(status));
             }
         }
-        await waitUntil("all are used by all", () => this.engines.every(engine => this.hasAllSince(engine, 0)));
+        await waitUntil(
+            "requests from every router at every engine",
+            () => this.engines.every(engine => this.isUsedByAllSince(engine, 0)),
+        );
     }
 
     async stopControllers(): Promise<void> {
         await Promise.all(CONTROLLERS.map(box => this.fleet.stopController(box)));
     }
 
-    /** Whether an engine was sent something by each router after a moment. Monotonic clock. */
-    hasAllSince(engine: SignallingEngine, since: number): boolean {
+    /** Whether every router has sent the engine a request after `since` (monotonic clock). */
+    isUsedByAllSince(engine: SignallingEngine, since: number): boolean {
         const arrivals = engine.arrivals.filter(({ at }) => at > since);
         return this.options.routers.every(name => arrivals.some(({ router }) => router === name));
     }
@@ -87,8 +92,8 @@
         return this.fleet.routers.get(router)!.role.daemon;
     }
 
-    /** What callers got that were not answered. */
-    listRefused(): number[] {
+    /** Lists the statuses other than 200 that callers received. */
+    listFailedStatuses(): number[] {
         return this.statuses.filter(status => status !== 200);
     }
 }
