--- a/test/platform/directFleet.test.ts
+++ b/test/platform/directFleet.test.ts
@@ -1,21 +1,21 @@
-/** Controllers, a router and engines of the platform's kind together: requests, budgets, and controllers that change. */
+/** Controllers, a router and engines of a direct fleet: routing, budgets, resumption, and replacement of controllers. */
 import t from "tap";
 import { request } from "undici";
-import { DirectFleet, type EngineAnswer } from "../tools/directFleet.js";
+import { DirectFleet, type EngineHandler } from "../tools/directFleet.js";
 import { waitUntil } from "../tools/waiting.js";
 import { createWireBundle } from "../tools/wireBundle.js";
 
 const NETWORK = 81;
 const fleet = new DirectFleet(NETWORK);
-let engineMode = "whole";
+let engineMode = "complete";
 
-const answerStream: EngineAnswer = (message, response) => {
+const answerStream: EngineHandler = (message, response) => {
     const head = { "Attempt-Id": message.headers["attempt-id"], "Instance-Signature": "sig" };
     if (message.headers["expect-instance"] === "e-full") {
         response.writeHead(503, { "Not-Executed": "1" }).end();
         return;
     }
-    if (engineMode === "dies") {
+    if (engineMode === "disconnects") {
         response.destroy();
         return;
     }
@@ -23,7 +23,7 @@
     response.writeHead(200, { ...head, "Content-Type": "text/event-stream" });
     for (let id = from + 1; id <= 4; id++) {
         response.write(`id: ${id}\ndata: piece ${id}\n\n`);
-        if (engineMode === "breaks" && id === 2) {
+        if (engineMode === "truncates" && id === 2) {
             response.write("id: 3\nda");
             setTimeout(() => response.destroy(), 20);
             return;
@@ -52,20 +52,20 @@
     });
 }
 
-void t.test("a fleet on the platform", async t => {
+void t.test("a direct fleet", async t => {
     await fleet.open();
     t.teardown(() => fleet.close());
     await Promise.all(["c1", "c2", "c3"].map(box => fleet.startController(box, true)));
     await fleet.startRouter("r1");
     const address = await fleet.startEngine("r11", answerStream);
 
-    await t.test("before the first configuration a request is refused as not run", async t => {
+    await t.test("a request before the first configuration is refused as not run", async t => {
         const answer = await callRouter("/s/x", "a0");
         t.equal(answer.statusCode, 503);
         t.ok(Number(answer.headers["retry-after"]) > 0);
     });
 
-    await t.test("a configuration is taken, read back as it was sent, and in force at the router", async t => {
+    await t.test("a configuration is accepted, read back byte for byte and applied by the router", async t => {
         await fleet.putBundle("c2", createWireBundle(3));
         const read = await fleet.call("GET", fleet.getOperatorUrl("c1", "/loomwinch/config"));
         t.equal(read.text, JSON.stringify(createWireBundle(3)));
@@ -81,7 +81,7 @@
         t.match(JSON.parse(read.text), { config_rev: 3 });
     });
 
-    await t.test("a registered engine serves a stream, byte for byte, with what it is told", async t => {
+    await t.test("a registered engine receives the request's headers and its stream is relayed unchanged", async t => {
         const url = fleet.getOperatorUrl("c1", "/loomwinch/instances/e1");
         t.equal((await fleet.call("PUT", url, createRegistration("engines", address, 1))).status, 200);
         await waitUntil("engine known", () => fleet.routers.get("r1")!.role.daemon.registry.tryGet("e1") !== undefined);
@@ -95,70 +95,70 @@
         t.ok(Number(sent.headers["deadline-ms"]) <= 3_000);
     });
 
-    await t.test("a wrong key, an unknown route and too much for the budget are refused by their numbers", async t => {
+    await t.test("a wrong key, an unknown route and an exceeded budget are refused with their statuses", async t => {
         t.equal((await callRouter("/s/x", "a2", { "Credential": "wrong" })).statusCode, 401);
         t.equal((await callRouter("/none/x", "a3")).statusCode, 404);
         t.equal((await callRouter("/s/x", "a4", { "Token-Usage": "99000,9000" })).statusCode, 402);
     });
 
-    await t.test("a stream that breaks off goes on at another engine without a piece missing or doubled", async t => {
+    await t.test("an interrupted stream resumes at another engine without lost or duplicate events", async t => {
         const second = await fleet.startEngine("r12", answerStream);
         const url = fleet.getOperatorUrl("c2", "/loomwinch/instances/e2");
         await fleet.call("PUT", url, createRegistration("engines", second, 1));
         await waitUntil("engine known", () => fleet.routers.get("r1")!.role.daemon.registry.tryGet("e2") !== undefined);
-        engineMode = "breaks";
+        engineMode = "truncates";
         const answer = await callRouter("/s/x", "a5");
         const text = await answer.body.text();
-        engineMode = "whole";
+        engineMode = "complete";
         t.same(text.match(/id: \d/g), ["id: 1", "id: 2", "id: 3", "id: 4"]);
         t.equal(text.match(/data: piece \d\n\n/g)?.length, 4);
     });
 
-    await t.test("a leaving engine gets nothing new, also when an older report comes late", async t => {
+    await t.test("a draining engine receives no new requests, even after a delayed older report", async t => {
         const url = fleet.getOperatorUrl("c3", "/loomwinch/instances/e2");
         await fleet.call("PUT", url, createRegistration("engines", address, 5, "draining"));
         await fleet.call("PUT", url, createRegistration("engines", address, 4));
         const { registry } = fleet.routers.get("r1")!.role.daemon;
-        await waitUntil("leaving known", () => registry.tryGet("e2")!.state === "leaving");
+        await waitUntil("engine draining", () => registry.tryGet("e2")!.state === "leaving");
         t.same(registry.getReady("engines", performance.now(), Infinity).map(upstream => upstream.id), ["e1"]);
     });
 
-    await t.test("a request that may have run is not refused as not run when no other engine is left", async t => {
-        engineMode = "dies";
+    await t.test("a request that may have run is not refused as not run when no other engine is available", async t => {
+        engineMode = "disconnects";
         const answer = await callRouter("/s/x", "a6");
-        engineMode = "whole";
+        engineMode = "complete";
         t.equal(answer.statusCode, 502);
         await answer.body.dump();
     });
 
-    await t.test("a malformed report of an engine is refused and changes nothing", async t => {
+    await t.test("a malformed engine report is refused and changes nothing", async t => {
         const url = fleet.getOperatorUrl("c1", "/loomwinch/instances/e1");
         t.equal((await fleet.call("PUT", url, "{")).status, 400);
         t.equal((await fleet.call("PUT", url, { state: "ready" })).status, 400);
         t.equal(fleet.controllers.get("c1")!.role.daemon.registrations.registry.tryGet("e1")?.sequence, 1);
     });
 
-    await t.test("a box that replaces a controller joins and votes, and the one that is gone is let go", async t => {
+    await t.test("a box that replaces a controller joins as a voter", async t => {
         await fleet.startController("c4", false);
-        const leader = (): string[] => fleet.controllers.get("c4")!.role.daemon.listReplicas();
-        await waitUntil("the new box is a voting replica", () => leader().length === 4);
+        const listReplicas = (): string[] => fleet.controllers.get("c4")!.role.daemon.listReplicas();
+        await waitUntil("the new box is a voting replica", () => listReplicas().length === 4);
         await fleet.putBundle("c4", createWireBundle(20));
         const read = await fleet.call("GET", fleet.getOperatorUrl("c4", "/loomwinch/config"));
         t.match(JSON.parse(read.text), { config_rev: 20 });
     });
 
-    await t.test("a controller that comes back with an empty disk catches up before it counts", async t => {
+    await t.test("a controller that restarts with an empty disk catches up", async t => {
         await fleet.stopController("c3");
         await fleet.putBundle("c1", createWireBundle(30));
         await fleet.startController("c3", false, "c3-empty");
-        await waitUntil("the emptied controller answers with the newest", async () => {
+        await waitUntil("newest configuration at the restarted controller", async () => {
             const read = await fleet.call("GET", fleet.getOperatorUrl("c3", "/loomwinch/config"));
             return read.status === 200 && JSON.parse(read.text).config_rev === 30;
         });
         t.pass();
     });
 
-    await t.test("all controllers killed and started again hold what was acknowledged", async t => {
+    await t.test("acknowledged configurations survive a restart of all controllers", async t => {
         await Promise.all([...fleet.controllers.keys()].map(box => fleet.stopController(box)));
         const disks = [["c1", "c1"], ["c2", "c2"], ["c3", "c3-empty"], ["c4", "c4"]] as const;
         await Promise.all(disks.map(([box, disk]) => fleet.startController(box, false, disk)));
--- a/test/platform/rebornUpstream.test.ts
+++ b/test/platform/rebornUpstream.test.ts
@@ -1,4 +1,4 @@
-/** An engine that dies and starts again under its id, from its registration at controllers to the router that sends to it. */
+/** An engine that restarts under its id: delayed reports of the earlier incarnation must not affect the new one. */
 import t from "tap";
 import { request } from "undici";
 import { DirectFleet } from "../tools/directFleet.js";
@@ -6,8 +6,8 @@
 import { createWireBundle } from "../tools/wireBundle.js";
 
 const NETWORK = 87;
-const BORN = 1_700_000_000_000;
-const BORN_AGAIN = BORN + 5_000;
+const FIRST_BORN_AT = 1_700_000_000_000;
+const SECOND_BORN_AT = FIRST_BORN_AT + 5_000;
 const fleet = new DirectFleet(NETWORK);
 
 async function callRouter(id: string): Promise<number> {
@@ -20,7 +20,7 @@
     return answer.statusCode;
 }
 
-void t.test("an engine that starts again under its id", async t => {
+void t.test("an engine that restarts under its id", async t => {
     await fleet.open();
     t.teardown(() => fleet.close());
     await Promise.all(["c1", "c2", "c3"].map(box => fleet.startController(box, true)));
@@ -39,18 +39,21 @@
         const answer = await fleet.call("PUT", fleet.getOperatorUrl(box, "/loomwinch/instances/e1"), body);
         t.equal(answer.status, 200);
     };
-    const getKnown = () => daemon.registry.tryGet("e1");
+    const getUpstream = () => daemon.registry.tryGet("e1");
 
-    await register("c1", BORN, 40);
-    await waitUntil("the first life", () => getKnown()?.state === "ready");
+    await register("c1", FIRST_BORN_AT, 40);
+    await waitUntil("first incarnation", () => getUpstream()?.state === "ready");
     t.equal(await callRouter("a1"), 200);
 
-    await t.test("is used again at once after its end, though it counts anew", async t => {
+    await t.test("is used immediately, although its sequence numbers start over", async t => {
         await fleet.call("DELETE", fleet.getOperatorUrl("c1", "/loomwinch/instances/e1"));
-        await waitUntil("its end", () => getKnown()?.state === "gone");
+        await waitUntil("engine gone", () => getUpstream()?.state === "gone");
         t.equal(await callRouter("a2"), 503);
-        await register("c2", BORN_AGAIN, 1);
-        await waitUntil("the second life", () => getKnown()?.state === "ready" && getKnown()?.bornAt === BORN_AGAIN);
+        await register("c2", SECOND_BORN_AT, 1);
+        await waitUntil(
+            "second incarnation",
+            () => getUpstream()?.state === "ready" && getUpstream()?.bornAt === SECOND_BORN_AT,
+        );
         t.equal(await callRouter("a3"), 200);
         t.not(callerPorts[1], callerPorts[0], "over a new connection");
     });
@@ -58,7 +61,7 @@
     await t.test("is reached over a new connection by a router whose box was suspended", async t => {
         t.equal(await callRouter("a5"), 200);
         const before = callerPorts.at(-1);
-        // The watch's clock has gone on, the box's time of day by ten minutes more.
+        // A suspension shows as wall-clock time advancing further than the monotonic clock.
         const realNow = Date.now;
         Date.now = () => realNow() + 600_000;
         t.teardown(() => Date.now = realNow);
@@ -67,13 +70,15 @@
         t.not(callerPorts.at(-1), before);
     });
 
-    await t.test("is not taken out by what comes late of its first life", async t => {
-        await register("c3", BORN, 41, "draining");
-        const end = await fleet.call("DELETE", fleet.getOperatorUrl("c3", "/loomwinch/instances/e1"), { born: BORN });
+    await t.test("is not removed by delayed reports of its first incarnation", async t => {
+        await register("c3", FIRST_BORN_AT, 41, "draining");
+        const end = await fleet.call("DELETE", fleet.getOperatorUrl("c3", "/loomwinch/instances/e1"), {
+            born: FIRST_BORN_AT,
+        });
         t.equal(end.status, 200);
-        await register("c3", BORN_AGAIN, 2);
-        await waitUntil("the newest report", () => getKnown()?.sequence === 2);
-        t.match(getKnown(), { state: "ready", bornAt: BORN_AGAIN });
+        await register("c3", SECOND_BORN_AT, 2);
+        await waitUntil("newest report", () => getUpstream()?.sequence === 2);
+        t.match(getUpstream(), { state: "ready", bornAt: SECOND_BORN_AT });
         t.equal(await callRouter("a4"), 200);
     });
 });
--- a/test/platform/replacedUpstreams.test.ts
+++ b/test/platform/replacedUpstreams.test.ts
@@ -1,8 +1,6 @@
 /**
- * A zone whose engines all come back at the same addresses under other ids.
- *
- * What users saw: after 13 engines had come back, 213 callers in 7 s were refused with "status 421": a router went on sending
- * to the ids that it knew, each sending took one of the route's attempts, and no router told another.
+ * Engines that restart at the same addresses under new ids answer status 421 to requests for the old ids. Routers must share
+ * this with each other, so that stale ids do not use up the attempts of callers' requests.
  */
 import t from "tap";
 import { request } from "undici";
@@ -12,14 +10,14 @@
 
 const NETWORK = 90;
 const ROUTERS = ["r1", "r2"];
-/** As many as the retries that a router has saved up. */
+/** Equal to the retry budget of a router. */
 const REPLACED = 2;
 const ENGINES = 5;
 const fleet = new DirectFleet(NETWORK);
-/** Who lives at each engine's box, by the box. */
-const living = new Map<string, string>();
-/** Arrivals that were turned away, by the id that was meant. */
-const turnedAway = new Map<string, number>();
+/** The current engine id at each box. */
+const idsByBox = new Map<string, string>();
+/** Number of responses with status 421, by expected engine id. */
+const misdirectedCounts = new Map<string, number>();
 let lastId = 0;
 
 async function callRouter(router: string): Promise<number> {
@@ -34,12 +32,12 @@
 }
 
 async function startEngine(id: string, box: string): Promise<void> {
-    living.set(box, id);
+    idsByBox.set(box, id);
     const address = await fleet.startEngine(box, (message, response) => {
         const echo = { "Attempt-Id": message.headers["attempt-id"] };
-        const meant = String(message.headers["expect-instance"]);
-        if (meant !== living.get(box)) {
-            turnedAway.set(meant, 1 + (turnedAway.get(meant) ?? 0));
+        const expectedId = String(message.headers["expect-instance"]);
+        if (expectedId !== idsByBox.get(box)) {
+            misdirectedCounts.set(expectedId, 1 + (misdirectedCounts.get(expectedId) ?? 0));
             response.writeHead(421, { ...echo, "Content-Length": 0 }).end();
             return;
         }
@@ -71,28 +69,28 @@
         await callRouter(ROUTERS[i % 2]!);
     }
 
-    await t.test("cost no caller its answer, and are each met once or twice by all routers together", async t => {
+    await t.test("cause no failed request and at most two 421 responses each from all routers together", async t => {
         for (let i = 0; i < REPLACED; i++) {
-            living.set(`r${11 + i}`, `new${i}`);
+            idsByBox.set(`r${11 + i}`, `new${i}`);
         }
         const statuses: number[] = [];
         for (let i = 0; i < 40; i++) {
             statuses.push(await callRouter(ROUTERS[i % 2]!));
         }
         t.same(statuses.filter(status => status !== 200), []);
-        const counts = [...turnedAway.values()];
-        t.ok(counts.length > 0, "some were met");
-        t.ok(counts.every(count => count <= ROUTERS.length), `turned away: ${counts.join(" ")}`);
+        const counts = [...misdirectedCounts.values()];
+        t.ok(counts.length > 0, "some requests were misdirected");
+        t.ok(counts.every(count => count <= ROUTERS.length), `misdirected: ${counts.join(" ")}`);
     });
 
-    await t.test("are used again by a report that is newer", async () => {
-        living.set("r11", "e0");
+    await t.test("are used again after a newer report", async () => {
+        idsByBox.set("r11", "e0");
         const { registry } = fleet.routers.get("r2")!.role.daemon;
         const address = registry.tryGet("e0")!.address;
         const body = { backend: "engines", address, zone: "z", slots: 4, state: "ready", seqno: 2, cold_left_ms: 0 };
         await fleet.call("PUT", fleet.getOperatorUrl("c2", "/loomwinch/instances/e0"), body);
         await waitUntil(
-            "it is back",
+            "engine ready again",
             () => registry.getReady("engines", performance.now(), Infinity).some(({ id }) => id === "e0"),
         );
     });
--- a/test/platform/waitingConnections.test.ts
+++ b/test/platform/waitingConnections.test.ts
@@ -1,6 +1,6 @@
 /**
- * A box that is at the limit of its processor: its loop takes one connection a poll, and what comes beyond waits in the listen
- * queue, where no clock of ours sees it. One lay 1.4 s there, and its request was answered after its route's time-out.
+ * A router at its CPU limit must keep its listen queue short: a connection waiting there counts against no timeout, so its
+ * request may be answered after the route's timeout.
  */
 import { once } from "node:events";
 import { createConnection, type Socket } from "node:net";
@@ -10,11 +10,11 @@
 
 const NETWORK = 92;
 const CALLERS = 400;
-/** Less than it takes until a connection that was not made is tried again. Milliseconds. */
-const LOOK_AFTER_MS = 300;
+/** Shorter than the delay before TCP retransmits a SYN. */
+const CHECK_DELAY_MS = 300;
 const fleet = new DirectFleet(NETWORK);
 
-void t.test("few connections wait to be taken; the others are not made, so that their callers can go elsewhere", async t => {
+void t.test("the listen queue is short; further connections are not made, so that callers can try another router", async t => {
     await fleet.open();
     t.teardown(() => fleet.close());
     await fleet.startRouter("r1");
@@ -27,8 +27,8 @@
         socket.on("connect", () => connected += 1);
         sockets.push(socket);
     }
-    // All are begun before the loop of this process, which is the router's too, takes the first one.
-    await wait(LOOK_AFTER_MS);
+    // All connections are started before the event loop, shared with the router, accepts the first one.
+    await wait(CHECK_DELAY_MS);
     t.ok(connected > 0 && connected < CALLERS / 4, `${connected} of ${CALLERS} connected`);
     sockets.forEach(socket => socket.destroy());
     const later = createConnection({ host: hostname, port: Number(port) });
--- a/test/tools/directFleet.ts
+++ b/test/tools/directFleet.ts
@@ -1,6 +1,6 @@
 /**
- * Controllers and routers of the platform's kind in one process, on loopback addresses of their own, each with its
- * platform interface, and a small engine. Boxes are told apart by their addresses in 127.0.0.0/8.
+ * Runs controllers, routers and HTTP engines of a direct fleet in one process. Every box has its own loopback address in
+ * 127.0.0.0/8.
  */
 import { mkdtemp, rm } from "node:fs/promises";
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
@@ -27,14 +27,14 @@
     readonly server: Server;
 }
 
-/** What an engine of the fleet was sent. */
+/** A request received by an engine of the fleet. */
 export interface EngineRequest {
     readonly method: string;
     readonly url: string;
     readonly headers: IncomingMessage["headers"];
 }
 
-export type EngineAnswer = (message: IncomingMessage, response: ServerResponse) => void;
+export type EngineHandler = (message: IncomingMessage, response: ServerResponse) => void;
 
 export class DirectFleet {
     readonly controllers = new Map<string, RunningBox<BundleControllerDaemon>>();
@@ -43,7 +43,7 @@
     private readonly engines: Server[] = [];
     private folder = "";
 
-    /** `network`: the second part of the fleet's addresses, so that fleets of several files do not meet. */
+    /** `network`: second octet of the fleet's addresses; unique to a test file, since files run in parallel. */
     constructor(private readonly network: number) {
         process.env["LOOMWINCH_FLEET_SECRET"] = "test-fleet-secret";
     }
@@ -74,7 +74,7 @@
         return `http://${this.getIp(box)}:${CALLER_PORT}${path}`;
     }
 
-    /** Starts a controller. `disk`: names its data folder, so that a box may come back with another one. */
+    /** Starts a controller. `disk`: name of its data folder; a restarted box may be given another one. */
     async startController(box: string, isFirstStart: boolean, disk = box): Promise<void> {
         const settings = this.createSettings(box, isFirstStart, disk);
         const role = await startBundleController({ ...createControllerSettings(settings), logLevel: "error" });
@@ -100,19 +100,19 @@
         await stopBox(this.routers, box);
     }
 
-    /** Starts an engine; answers its address. */
-    async startEngine(box: string, answer: EngineAnswer): Promise<string> {
+    /** Starts an engine and returns its address. */
+    async startEngine(box: string, handle: EngineHandler): Promise<string> {
         const server = createServer((message, response) => {
             this.engineRequests.push({ method: message.method!, url: message.url!, headers: message.headers });
             message.resume();
-            answer(message, response);
+            handle(message, response);
         });
         await new Promise<void>(resolve => server.listen(ENGINE_PORT, this.getIp(box), resolve));
         this.engines.push(server);
         return `${this.getIp(box)}:${ENGINE_PORT}`;
     }
 
-    /** Sends to a controller as upstreams and the operator do; answers status and body. */
+    /** Sends an HTTP request, such as a registration or an operator command, and returns status and body. */
     async call(
         method: "GET" | "PUT" | "POST" | "DELETE",
         url: string,
@@ -123,7 +123,7 @@
         return { status: answer.statusCode, text: await answer.body.text() };
     }
 
-    /** Puts a configuration until a controller takes it. */
+    /** Uploads a configuration bundle; retries while the controller answers 5xx. */
     async putBundle(box: string, bundle: unknown): Promise<void> {
         for (;;) {
             const answer = await this.call("PUT", this.getOperatorUrl(box, "/loomwinch/config"), bundle);
