--- a/test/platform/directFleet.test.ts
+++ b/test/platform/directFleet.test.ts
@@ -67,23 +67,23 @@
 
     await t.test("a configuration is accepted, read back byte for byte and applied by the router", async t => {
         await fleet.putBundle("c2", createWireBundle(3));
-        const read = await fleet.call("GET", fleet.getOperatorUrl("c1", "/loomwinch/config"));
+        const read = await fleet.sendRequest("GET", fleet.getOperatorUrl("c1", "/loomwinch/config"));
         t.equal(read.text, JSON.stringify(createWireBundle(3)));
         await waitUntil("bundle in force", () => fleet.routers.get("r1")!.role.daemon.getBundleRevision() === 3);
     });
 
     await t.test("an older revision is acknowledged and changes nothing; an invalid one is refused", async t => {
         const url = fleet.getOperatorUrl("c3", "/loomwinch/config");
-        t.equal((await fleet.call("PUT", url, createWireBundle(2))).status, 200);
-        t.equal((await fleet.call("PUT", url, "{\"config_rev\": 9, ")).status, 400);
-        t.equal((await fleet.call("PUT", url, { ...createWireBundle(9), backends: [] })).status, 400);
-        const read = await fleet.call("GET", url);
+        t.equal((await fleet.sendRequest("PUT", url, createWireBundle(2))).status, 200);
+        t.equal((await fleet.sendRequest("PUT", url, "{\"config_rev\": 9, ")).status, 400);
+        t.equal((await fleet.sendRequest("PUT", url, { ...createWireBundle(9), backends: [] })).status, 400);
+        const read = await fleet.sendRequest("GET", url);
         t.match(JSON.parse(read.text), { config_rev: 3 });
     });
 
     await t.test("a registered engine receives the request's headers and its stream is relayed unchanged", async t => {
         const url = fleet.getOperatorUrl("c1", "/loomwinch/instances/e1");
-        t.equal((await fleet.call("PUT", url, createRegistration("engines", address, 1))).status, 200);
+        t.equal((await fleet.sendRequest("PUT", url, createRegistration("engines", address, 1))).status, 200);
         await waitUntil("engine known", () => fleet.routers.get("r1")!.role.daemon.registry.tryGet("e1") !== undefined);
         const answer = await callRouter("/s/x", "a1");
         t.equal(answer.statusCode, 200);
@@ -104,7 +104,7 @@
     await t.test("an interrupted stream resumes at another engine without lost or duplicate events", async t => {
         const second = await fleet.startEngine("r12", answerStream);
         const url = fleet.getOperatorUrl("c2", "/loomwinch/instances/e2");
-        await fleet.call("PUT", url, createRegistration("engines", second, 1));
+        await fleet.sendRequest("PUT", url, createRegistration("engines", second, 1));
         await waitUntil("engine known", () => fleet.routers.get("r1")!.role.daemon.registry.tryGet("e2") !== undefined);
         engineMode = "truncates";
         const answer = await callRouter("/s/x", "a5");
@@ -116,8 +116,8 @@
 
     await t.test("a draining engine receives no new requests, even after a delayed older report", async t => {
         const url = fleet.getOperatorUrl("c3", "/loomwinch/instances/e2");
-        await fleet.call("PUT", url, createRegistration("engines", address, 5, "draining"));
-        await fleet.call("PUT", url, createRegistration("engines", address, 4));
+        await fleet.sendRequest("PUT", url, createRegistration("engines", address, 5, "draining"));
+        await fleet.sendRequest("PUT", url, createRegistration("engines", address, 4));
         const { registry } = fleet.routers.get("r1")!.role.daemon;
         await waitUntil("engine draining", () => registry.tryGet("e2")!.state === "leaving");
         t.same(registry.getReady("engines", performance.now(), Infinity).map(upstream => upstream.id), ["e1"]);
@@ -133,8 +133,8 @@
 
     await t.test("a malformed engine report is refused and changes nothing", async t => {
         const url = fleet.getOperatorUrl("c1", "/loomwinch/instances/e1");
-        t.equal((await fleet.call("PUT", url, "{")).status, 400);
-        t.equal((await fleet.call("PUT", url, { state: "ready" })).status, 400);
+        t.equal((await fleet.sendRequest("PUT", url, "{")).status, 400);
+        t.equal((await fleet.sendRequest("PUT", url, { state: "ready" })).status, 400);
         t.equal(fleet.controllers.get("c1")!.role.daemon.registrations.registry.tryGet("e1")?.sequence, 1);
     });
 
@@ -143,7 +143,7 @@
         const listReplicas = (): string[] => fleet.controllers.get("c4")!.role.daemon.listReplicas();
         await waitUntil("the new box is a voting replica", () => listReplicas().length === 4);
         await fleet.putBundle("c4", createWireBundle(20));
-        const read = await fleet.call("GET", fleet.getOperatorUrl("c4", "/loomwinch/config"));
+        const read = await fleet.sendRequest("GET", fleet.getOperatorUrl("c4", "/loomwinch/config"));
         t.match(JSON.parse(read.text), { config_rev: 20 });
     });
 
@@ -152,7 +152,7 @@
         await fleet.putBundle("c1", createWireBundle(30));
         await fleet.startController("c3", false, "c3-empty");
         await waitUntil("newest configuration at the restarted controller", async () => {
-            const read = await fleet.call("GET", fleet.getOperatorUrl("c3", "/loomwinch/config"));
+            const read = await fleet.sendRequest("GET", fleet.getOperatorUrl("c3", "/loomwinch/config"));
             return read.status === 200 && JSON.parse(read.text).config_rev === 30;
         });
         t.pass();
--- a/test/platform/evacuations.test.ts
+++ b/test/platform/evacuations.test.ts
@@ -41,7 +41,7 @@
 
 async function sendEvacuation(controller: string, method: "POST" | "DELETE", zone: string): Promise<number> {
     const url = fleet.getOperatorUrl(controller, `/loomwinch/evacuations/${zone}`);
-    return (await fleet.call(method, url)).status;
+    return (await fleet.sendRequest(method, url)).status;
 }
 
 /** Retries until the request is acknowledged, as operators do. */
@@ -63,7 +63,7 @@
         sequence += 1;
         const body = { backend: "engines", address, zone, slots: 4, state: "ready", seqno: sequence, cold_left_ms: 0 };
         const urls = CONTROLLERS.map(box => fleet.getOperatorUrl(box, `/loomwinch/instances/${id}`));
-        await Promise.allSettled(urls.map(url => fleet.call("PUT", url, body)));
+        await Promise.allSettled(urls.map(url => fleet.sendRequest("PUT", url, body)));
     };
     reportTimers.push(setInterval(() => void report(), REPORT_PERIOD_MS));
     await report();
--- a/test/platform/failuresClearNobody.test.ts
+++ b/test/platform/poisonRequestFailures.test.ts
@@ -1,8 +1,8 @@
 /** A poison request that one upstream answers with status 500 between two crashes must remain a suspect. */
 import t from "tap";
 import { request } from "undici";
+import { CrashingEngine, POISON_BODY } from "../tools/crashingEngine.js";
 import { DirectFleet } from "../tools/directFleet.js";
-import { CrashingEngine, POISON_BODY } from "../tools/mortalEngine.js";
 import { wait, waitUntil } from "../tools/waiting.js";
 import { createWireBundle } from "../tools/wireBundle.js";
 
--- a/test/platform/requestsThatEndUpstreams.test.ts
+++ b/test/platform/poisonRequests.test.ts
@@ -4,8 +4,8 @@
  */
 import t from "tap";
 import { request } from "undici";
+import { CrashingEngine, POISON_BODY } from "../tools/crashingEngine.js";
 import { DirectFleet } from "../tools/directFleet.js";
-import { CrashingEngine, POISON_BODY } from "../tools/mortalEngine.js";
 import { waitUntil } from "../tools/waiting.js";
 import { createWireBundle } from "../tools/wireBundle.js";
 
--- a/test/platform/replacedUpstreams.test.ts
+++ b/test/platform/replacedUpstreams.test.ts
@@ -46,7 +46,7 @@
     });
     const body = { backend: "engines", address, zone: "z", slots: 4, state: "ready", seqno: 1, cold_left_ms: 0 };
     const url = fleet.getOperatorUrl("c1", `/loomwinch/instances/${id}`);
-    t.equal((await fleet.call("PUT", url, body)).status, 200);
+    t.equal((await fleet.sendRequest("PUT", url, body)).status, 200);
 }
 
 void t.test("engines that were replaced at their addresses", async t => {
@@ -88,7 +88,7 @@
         const { registry } = fleet.routers.get("r2")!.role.daemon;
         const address = registry.tryGet("e0")!.address;
         const body = { backend: "engines", address, zone: "z", slots: 4, state: "ready", seqno: 2, cold_left_ms: 0 };
-        await fleet.call("PUT", fleet.getOperatorUrl("c2", "/loomwinch/instances/e0"), body);
+        await fleet.sendRequest("PUT", fleet.getOperatorUrl("c2", "/loomwinch/instances/e0"), body);
         await waitUntil(
             "engine ready again",
             () => registry.getReady("engines", performance.now(), Infinity).some(({ id }) => id === "e0"),
--- a/test/platform/rebornUpstream.test.ts
+++ b/test/platform/restartedUpstream.test.ts
@@ -36,7 +36,7 @@
     await waitUntil("bundle in force", () => daemon.getBundleRevision() === 1);
     const register = async (box: string, born: number, seqno: number, state = "ready"): Promise<void> => {
         const body = { backend: "engines", address, zone: "z", slots: 4, state, seqno, born };
-        const answer = await fleet.call("PUT", fleet.getOperatorUrl(box, "/loomwinch/instances/e1"), body);
+        const answer = await fleet.sendRequest("PUT", fleet.getOperatorUrl(box, "/loomwinch/instances/e1"), body);
         t.equal(answer.status, 200);
     };
     const getUpstream = () => daemon.registry.tryGet("e1");
@@ -46,7 +46,7 @@
     t.equal(await callRouter("a1"), 200);
 
     await t.test("is used immediately, although its sequence numbers start over", async t => {
-        await fleet.call("DELETE", fleet.getOperatorUrl("c1", "/loomwinch/instances/e1"));
+        await fleet.sendRequest("DELETE", fleet.getOperatorUrl("c1", "/loomwinch/instances/e1"));
         await waitUntil("engine gone", () => getUpstream()?.state === "gone");
         t.equal(await callRouter("a2"), 503);
         await register("c2", SECOND_BORN_AT, 1);
@@ -72,7 +72,7 @@
 
     await t.test("is not removed by delayed reports of its first incarnation", async t => {
         await register("c3", FIRST_BORN_AT, 41, "draining");
-        const end = await fleet.call("DELETE", fleet.getOperatorUrl("c3", "/loomwinch/instances/e1"), {
+        const end = await fleet.sendRequest("DELETE", fleet.getOperatorUrl("c3", "/loomwinch/instances/e1"), {
             born: FIRST_BORN_AT,
         });
         t.equal(end.status, 200);
--- a/test/tools/mortalEngine.ts
+++ b/test/tools/crashingEngine.ts
@@ -62,7 +62,7 @@
         const urls = [...this.fleet.controllers.keys()].map(controller =>
             this.fleet.getOperatorUrl(controller, `/loomwinch/instances/${this.id}`)
         );
-        await Promise.allSettled(urls.map(url => this.fleet.call("PUT", url, body)));
+        await Promise.allSettled(urls.map(url => this.fleet.sendRequest("PUT", url, body)));
     }
 
     private async serve(message: IncomingMessage, response: ServerResponse): Promise<void> {
--- a/test/tools/directFleet.ts
+++ b/test/tools/directFleet.ts
@@ -113,7 +113,7 @@
     }
 
     /** Sends an HTTP request, such as a registration or an operator command, and returns status and body. */
-    async call(
+    async sendRequest(
         method: "GET" | "PUT" | "POST" | "DELETE",
         url: string,
         body?: unknown,
@@ -126,7 +126,7 @@
     /** Uploads a configuration bundle; retries while the controller answers 5xx. */
     async putBundle(box: string, bundle: unknown): Promise<void> {
         for (;;) {
-            const answer = await this.call("PUT", this.getOperatorUrl(box, "/loomwinch/config"), bundle);
+            const answer = await this.sendRequest("PUT", this.getOperatorUrl(box, "/loomwinch/config"), bundle);
             if (answer.status === 200) {
                 return;
             }
--- a/test/tools/signallingEngine.ts
+++ b/test/tools/signallingEngine.ts
@@ -50,7 +50,7 @@
         const known = { backend: this.service, address, zone: "z", slots: 8, state: "ready", cold_left_ms: 0 };
         const url = this.fleet.getOperatorUrl(controller, `/loomwinch/instances/${this.id}`);
         // The next report makes up for a lost one.
-        await this.fleet.call("PUT", url, { ...known, seqno: this.sequence }).catch(() => undefined);
+        await this.fleet.sendRequest("PUT", url, { ...known, seqno: this.sequence }).catch(() => undefined);
     }
 
     /** Returns the highest number of arrivals within any `spanMs` after `from`. */
