--- a/src/consensus/messages.ts
+++ b/src/consensus/messages.ts
@@ -4,14 +4,14 @@
 import { type ApplyResult } from "../domain/declaredState.js";
 import { createPeerMethod } from "../ports/peer.js";
 
-const nonNegativeInteger = z.int().min(0);
+const nonNegativeInt = z.int().min(0);
 const replicaName = z.string().max(128);
 
 const voteSchema = z.object({
-    term: nonNegativeInteger,
+    term: nonNegativeInt,
     candidate: replicaName,
-    lastIndex: nonNegativeInteger,
-    lastTerm: nonNegativeInteger,
+    lastIndex: nonNegativeInt,
+    lastTerm: nonNegativeInt,
 });
 export type VoteParams = z.infer<typeof voteSchema>;
 export interface VoteAnswer {
@@ -20,18 +20,18 @@
 }
 
 const entrySchema = z.object({
-    index: nonNegativeInteger,
-    term: nonNegativeInteger,
+    index: nonNegativeInt,
+    term: nonNegativeInt,
     at: z.number(),
     command: commandSchema,
 });
 const appendSchema = z.object({
-    term: nonNegativeInteger,
+    term: nonNegativeInt,
     leader: replicaName,
-    previousIndex: nonNegativeInteger,
-    previousTerm: nonNegativeInteger,
+    previousIndex: nonNegativeInt,
+    previousTerm: nonNegativeInt,
     entries: z.array(entrySchema).max(4096),
-    commitIndex: nonNegativeInteger,
+    commitIndex: nonNegativeInt,
 });
 export type AppendParams = Omit<z.infer<typeof appendSchema>, "entries"> & { readonly entries: readonly LogEntry[]; };
 export interface AppendAnswer {
@@ -44,12 +44,12 @@
 }
 
 const snapshotSchema = z.object({
-    term: nonNegativeInteger,
+    term: nonNegativeInt,
     leader: replicaName,
-    lastIndex: nonNegativeInteger,
-    lastTerm: nonNegativeInteger,
+    lastIndex: nonNegativeInt,
+    lastTerm: nonNegativeInt,
     /** Position of `piece` in the serialized snapshot, in characters. */
-    offset: nonNegativeInteger,
+    offset: nonNegativeInt,
     piece: z.string(),
     done: z.boolean(),
     replicas: z.array(replicaSchema).max(64).optional(),
--- a/src/daemons/sidecar/sidecarDaemon.ts
+++ b/src/daemons/sidecar/sidecarDaemon.ts
@@ -37,7 +37,7 @@
 
 const FLUSH_PERIOD_MS = 20;
 const EVICTION_PERIOD_MS = 1_000;
-const DRAIN_POLL_PERIOD_MS = 50;
+const DRAIN_POLL_INTERVAL_MS = 50;
 /** Large enough that no router still uses a grant by the time it is evicted. */
 const MAX_CLOSED_GRANTS = 100_000;
 const DRAINING_RETRY_MS = 200;
@@ -104,7 +104,7 @@
         this.applyConfig();
         const deadline = this.clock.getMonotonicMs() + this.options.drainMs;
         while (!this.isDrained() && this.clock.getMonotonicMs() < deadline) {
-            await this.clock.wait(DRAIN_POLL_PERIOD_MS);
+            await this.clock.wait(DRAIN_POLL_INTERVAL_MS);
         }
         this.log.info("sidecar_drained", {
             runs_left: this.table.getActive().length,
