--- a/test/tools/signallingEngine.ts
+++ b/test/tools/signallingEngine.ts
@@ -62,7 +62,7 @@
     private serve(message: IncomingMessage, response: ServerResponse): void {
         const attempt = String(message.headers["attempt-id"]);
         const isRejected = this.rejectionHeaders !== undefined;
-        this.arrivals.push({ router: attempt.split("-")[0]!, at: performance.now(), isRejected: isRejected });
+        this.arrivals.push({ router: attempt.split("-")[0]!, at: performance.now(), isRejected });
         const head = { ...this.headers, "Attempt-Id": attempt };
         const rejectionHead = { ...head, ...this.rejectionHeaders, "Not-Executed": "1", "Content-Length": 0 };
         const successHead = { ...head, "Instance-Signature": "sig", "Content-Type": "text/event-stream" };
